--- a/src/connection/edge.c
+++ b/src/connection/adapter.c
@@ -1,5 +1,5 @@
 /* Comparison of positions and names of codes, shared by both edges. */
-#include "edge.h"
+#include "adapter.h"
 
 static const char *const reply_names[REPLY_CODES]
     = { "ok",           "busy",          "behind",     "not_primary",
--- a/src/connection/edge.h
+++ b/src/connection/adapter.h
@@ -5,8 +5,8 @@
  * replies and positions are typed here; an edge decodes its protocol into
  * them and decides nothing.
  */
-#ifndef CFS_EDGE_H
-#define CFS_EDGE_H
+#ifndef CFS_ADAPTER_H
+#define CFS_ADAPTER_H
 
 #include "../cfs.h"
 
@@ -174,34 +174,36 @@
   const struct cfs_caller_ops *ops;
 };
 
-struct cfs_wire;
+struct cfs_target_conn;
 
 /**
- * struct cfs_wire_ops - effects on a connection to an instance
+ * struct cfs_target_conn_ops - effects on a connection to an instance
  * @send: hands statements over, in order; each gets one reply
  * @close: ends the connection at once and frees it; no event follows
  */
-struct cfs_wire_ops
+struct cfs_target_conn_ops
 {
-  void (*send) (struct cfs_wire *wire, const struct cfs_statement *statements,
-                size_t count);
-  void (*close) (struct cfs_wire *wire);
+  void (*send) (struct cfs_target_conn *wire,
+                const struct cfs_statement *statements, size_t count);
+  void (*close) (struct cfs_target_conn *wire);
 };
 
-/** struct cfs_wire - a connection to an instance, extended by its edge */
-struct cfs_wire
+/** struct cfs_target_conn - a connection to an instance, extended by its edge
+ */
+struct cfs_target_conn
 {
-  const struct cfs_wire_ops *ops;
+  const struct cfs_target_conn_ops *ops;
 };
 
 /**
- * struct cfs_wire_events - what a connection to an instance tells its owner
+ * struct cfs_target_conn_events - what a connection to an instance tells its
+ * owner
  * @opened: the instance accepted or refused the connection; a refused one
  * is to be closed
  * @replied: the oldest statement without a reply ended
  * @lost: the connection is gone and was freed
  */
-struct cfs_wire_events
+struct cfs_target_conn_events
 {
   void (*opened) (void *owner, const struct cfs_reply *reply);
   void (*replied) (void *owner, const struct cfs_reply *reply);
@@ -209,19 +211,19 @@
 };
 
 /**
- * struct cfs_wire_setup - parameters of a new connection
+ * struct cfs_target_conn_setup - parameters of a new connection
  * @address: "IP:PORT"
  * @service: name of the group that the instance must serve
  * @team: on whose behalf the connection is used
  * @target: identity that the instance must have
  */
-struct cfs_wire_setup
+struct cfs_target_conn_setup
 {
   const char *address;
   const char *service;
   const char *team;
   const char *target;
-  const struct cfs_wire_events *events;
+  const struct cfs_target_conn_events *events;
   void *owner;
 };
 
@@ -239,15 +241,15 @@
 };
 
 /**
- * struct cfs_target_edge - how connections to instances are made
+ * struct cfs_target_adapter - how connections to instances are made
  * @open: starts a connection, or gives NULL when that cannot be
  * @read_status: decodes the reply to VERB_STATUS, VERB_PAUSE, VERB_RESUME
  * and VERB_DEMOTE; false when it cannot be read
  */
-struct cfs_target_edge
+struct cfs_target_adapter
 {
-  struct cfs_wire *(*open) (const struct cfs_target_edge *edge,
-                            const struct cfs_wire_setup *setup);
+  struct cfs_target_conn *(*open) (const struct cfs_target_adapter *edge,
+                                   const struct cfs_target_conn_setup *setup);
   bool (*read_status) (const struct cfs_reply *reply,
                        struct cfs_instance_state *out);
 };
--- a/src/connection/http.c
+++ b/src/connection/http.c
@@ -17,7 +17,7 @@
 #define COOKIE_NAME "coltsfootstage-session"
 #define HTTP_TOO_LARGE 413
 
-struct cfs_call
+struct cfs_http_request
 {
   struct cfs_http *http;
   struct MHD_Connection *connection;
@@ -44,7 +44,7 @@
 };
 
 static void
-free_call (struct cfs_call *c)
+free_call (struct cfs_http_request *c)
 {
   c->http->open--;
   if (c->response)
@@ -59,7 +59,7 @@
 completed (void *ctx, struct MHD_Connection *connection, void **slot,
            enum MHD_RequestTerminationCode code)
 {
-  struct cfs_call *c = *slot;
+  struct cfs_http_request *c = *slot;
 
   (void)ctx;
   (void)connection;
@@ -77,7 +77,7 @@
 }
 
 static void
-take_body (struct cfs_call *c, const char *data, size_t len)
+take_body (struct cfs_http_request *c, const char *data, size_t len)
 {
   if (c->too_large || c->len + len > c->http->setup.max_body_bytes)
     {
@@ -101,7 +101,7 @@
 }
 
 static enum MHD_Result
-refuse_large (struct cfs_call *c)
+refuse_large (struct cfs_http_request *c)
 {
   static const char text[]
       = "{\"code\":\"bad_request\",\"outcome\":\"not_run\",\"detail\":\"the "
@@ -122,7 +122,7 @@
         void **slot)
 {
   struct cfs_http *h = ctx;
-  struct cfs_call *c = *slot;
+  struct cfs_http_request *c = *slot;
 
   (void)version;
   if (!c)
@@ -239,25 +239,26 @@
 }
 
 size_t
-cfs_http_open_calls (const struct cfs_http *h)
+cfs_http_open_requests (const struct cfs_http *h)
 {
   return h->open;
 }
 
 const char *
-cfs_call_method (const struct cfs_call *c)
+cfs_http_request_method (const struct cfs_http_request *c)
 {
   return c->method;
 }
 
 const char *
-cfs_call_path (const struct cfs_call *c)
+cfs_http_request_path (const struct cfs_http_request *c)
 {
   return c->path;
 }
 
 static const char *
-lookup (const struct cfs_call *c, enum MHD_ValueKind kind, const char *name)
+lookup (const struct cfs_http_request *c, enum MHD_ValueKind kind,
+        const char *name)
 {
   if (!c->connection)
     return NULL;
@@ -265,19 +266,19 @@
 }
 
 const char *
-cfs_call_header (const struct cfs_call *c, const char *name)
+cfs_http_request_header (const struct cfs_http_request *c, const char *name)
 {
   return lookup (c, MHD_HEADER_KIND, name);
 }
 
 const char *
-cfs_call_cookie (const struct cfs_call *c, const char *name)
+cfs_http_request_cookie (const struct cfs_http_request *c, const char *name)
 {
   return lookup (c, MHD_COOKIE_KIND, name);
 }
 
 const char *
-cfs_call_body (const struct cfs_call *c)
+cfs_http_request_body (const struct cfs_http_request *c)
 {
   return c->body ? c->body : "";
 }
@@ -294,7 +295,8 @@
 }
 
 void
-cfs_call_answer (struct cfs_call *c, const struct cfs_answer *a)
+cfs_http_respond (struct cfs_http_request *c,
+                  const struct cfs_http_response *a)
 {
   const char *body = a->body ? a->body : "";
   char number[16];
--- a/src/connection/http.h
+++ b/src/connection/http.h
@@ -13,8 +13,8 @@
 
 struct cfs_http;
 
-/** struct cfs_call - one HTTP request; owned by the server */
-struct cfs_call;
+/** struct cfs_http_request - one HTTP request; owned by the server */
+struct cfs_http_request;
 
 /**
  * struct cfs_http_setup - parameters of cfs_http_new()
@@ -29,12 +29,12 @@
   const char *certificate;
   const char *key;
   uint32_t max_body_bytes;
-  void (*request) (void *ctx, struct cfs_call *call);
+  void (*request) (void *ctx, struct cfs_http_request *call);
   void *ctx;
 };
 
-/** struct cfs_answer - what goes back; texts are copied */
-struct cfs_answer
+/** struct cfs_http_response - what goes back; texts are copied */
+struct cfs_http_response
 {
   unsigned status;
   const char *type;
@@ -58,25 +58,28 @@
 /** cfs_http_quiesce() - takes no new connections */
 void cfs_http_quiesce (struct cfs_http *http);
 
-/** cfs_http_open_calls() - calls whose answer is not wholly sent */
-size_t cfs_http_open_calls (const struct cfs_http *http);
+/** cfs_http_open_requests() - calls whose answer is not wholly sent */
+size_t cfs_http_open_requests (const struct cfs_http *http);
 
-/** cfs_call_method() - such as "GET" */
-const char *cfs_call_method (const struct cfs_call *call);
+/** cfs_http_request_method() - such as "GET" */
+const char *cfs_http_request_method (const struct cfs_http_request *call);
 
-/** cfs_call_path() - path without query */
-const char *cfs_call_path (const struct cfs_call *call);
+/** cfs_http_request_path() - path without query */
+const char *cfs_http_request_path (const struct cfs_http_request *call);
 
-/** cfs_call_header() - value of a header, or NULL */
-const char *cfs_call_header (const struct cfs_call *call, const char *name);
+/** cfs_http_request_header() - value of a header, or NULL */
+const char *cfs_http_request_header (const struct cfs_http_request *call,
+                                     const char *name);
 
-/** cfs_call_cookie() - value of a cookie, or NULL */
-const char *cfs_call_cookie (const struct cfs_call *call, const char *name);
+/** cfs_http_request_cookie() - value of a cookie, or NULL */
+const char *cfs_http_request_cookie (const struct cfs_http_request *call,
+                                     const char *name);
 
-/** cfs_call_body() - terminated body, "" when there is none */
-const char *cfs_call_body (const struct cfs_call *call);
+/** cfs_http_request_body() - terminated body, "" when there is none */
+const char *cfs_http_request_body (const struct cfs_http_request *call);
 
-/** cfs_call_answer() - answers; @call must not be used afterwards */
-void cfs_call_answer (struct cfs_call *call, const struct cfs_answer *answer);
+/** cfs_http_respond() - answers; @call must not be used afterwards */
+void cfs_http_respond (struct cfs_http_request *call,
+                       const struct cfs_http_response *answer);
 
 #endif
--- a/src/connection/pool.c
+++ b/src/connection/pool.c
@@ -21,14 +21,14 @@
 /* Named to instances where callers need no key. */
 #define OPEN_TEAM "public"
 
-struct cfs_link
+struct cfs_pooled_conn
 {
   struct cfs_pool *pool;
   char site[CFS_NAME_MAX];
   char team[CFS_NAME_MAX];
-  struct cfs_link *next;
-  struct cfs_wire *wire;
-  const struct cfs_link_events *events;
+  struct cfs_pooled_conn *next;
+  struct cfs_target_conn *wire;
+  const struct cfs_pooled_conn_events *events;
   void *holder;
   bool up;
   unsigned due;
@@ -39,16 +39,16 @@
 };
 
 static struct site *
-site_of (const struct cfs_link *l)
+site_of (const struct cfs_pooled_conn *l)
 {
   return cfs_table_find (&l->pool->sites, l->site);
 }
 
 static void
-unlink_link (struct cfs_link *l)
+unlink_link (struct cfs_pooled_conn *l)
 {
   struct site *s = site_of (l);
-  struct cfs_link **at = &s->first;
+  struct cfs_pooled_conn **at = &s->first;
 
   while (*at != l)
     at = &(*at)->next;
@@ -59,7 +59,7 @@
 }
 
 static void
-free_link (struct cfs_link *l)
+free_link (struct cfs_pooled_conn *l)
 {
   unlink_link (l);
   g_hash_table_destroy (l->values);
@@ -68,7 +68,7 @@
 }
 
 void
-cfs_pool_drop (struct cfs_link *l)
+cfs_pool_close_conn (struct cfs_pooled_conn *l)
 {
   l->wire->ops->close (l->wire);
   free_link (l);
@@ -77,9 +77,9 @@
 static void
 on_opened (void *owner, const struct cfs_reply *r)
 {
-  struct cfs_link *l = owner;
+  struct cfs_pooled_conn *l = owner;
   struct site *s = site_of (l);
-  const struct cfs_link_events *events = l->events;
+  const struct cfs_pooled_conn_events *events = l->events;
   void *holder = l->holder;
   int64_t now = cfs_pool_now (l->pool);
 
@@ -104,26 +104,26 @@
         site_note_failure (s, now);
       cfs_log (CFS_INFO, PART, "target=%s team=%s connection refused code=%s",
                l->site, l->team, cfs_reply_name (r->code));
-      cfs_pool_drop (l);
+      cfs_pool_close_conn (l);
     }
   if (holder)
     events->opened (holder, r);
 }
 
 static void
-settle (struct cfs_link *l, int64_t now)
+settle (struct cfs_pooled_conn *l, int64_t now)
 {
   l->since = now;
   if (l->due)
     return;
   if (l->state != TX_IDLE)
-    cfs_pool_drop (l);
+    cfs_pool_close_conn (l);
 }
 
 static void
 on_replied (void *owner, const struct cfs_reply *r)
 {
-  struct cfs_link *l = owner;
+  struct cfs_pooled_conn *l = owner;
   struct site *s = site_of (l);
 
   if (l->due)
@@ -142,8 +142,8 @@
 static void
 on_lost (void *owner, const char *reason)
 {
-  struct cfs_link *l = owner;
-  const struct cfs_link_events *events = l->events;
+  struct cfs_pooled_conn *l = owner;
+  const struct cfs_pooled_conn_events *events = l->events;
   void *holder = l->holder;
   bool idle = l->up && !holder && l->due == 0;
 
@@ -158,11 +158,11 @@
     events->lost (holder, reason);
 }
 
-static const struct cfs_wire_events wire_events
+static const struct cfs_target_conn_events wire_events
     = { on_opened, on_replied, on_lost };
 
 struct cfs_pool *
-cfs_pool_new (const struct cfs_target_edge *edge,
+cfs_pool_new (const struct cfs_target_adapter *edge,
               const struct cfs_fleet *fleet, int64_t (*clock) (void),
               uint64_t seed)
 {
@@ -190,12 +190,12 @@
   for (size_t i = 0; i < p->sites.count; i++)
     {
       struct site *s = cfs_table_at (&p->sites, i);
-      struct cfs_link *next;
+      struct cfs_pooled_conn *next;
 
-      for (struct cfs_link *l = s->first; l; l = next)
+      for (struct cfs_pooled_conn *l = s->first; l; l = next)
         {
           next = l->next;
-          cfs_pool_drop (l);
+          cfs_pool_close_conn (l);
         }
     }
   cfs_table_end (&p->sites);
@@ -203,7 +203,7 @@
 }
 
 static bool
-is_idle (const struct cfs_link *l)
+is_idle (const struct cfs_pooled_conn *l)
 {
   return !l->holder && l->up && l->due == 0 && l->state == TX_IDLE;
 }
@@ -211,7 +211,7 @@
 /* Whether a link that nobody holds is to be closed. */
 static bool
 is_stale (const struct cfs_pool *p, const struct site *s,
-          const struct cfs_link *l, int64_t now)
+          const struct cfs_pooled_conn *l, int64_t now)
 {
   const struct cfs_target *t = cfs_fleet_target (p->fleet, s->id);
   int64_t age = now - l->since;
@@ -228,15 +228,15 @@
 
 /* A held link that does not come up ends as lost. */
 static bool
-is_hung (const struct cfs_link *l, int64_t now)
+is_hung (const struct cfs_pooled_conn *l, int64_t now)
 {
   return l->holder && !l->up && now - l->since > OPEN_MAX_US;
 }
 
-static struct cfs_link *
+static struct cfs_pooled_conn *
 find_expired (const struct cfs_pool *p, const struct site *s, int64_t now)
 {
-  for (struct cfs_link *l = s->first; l; l = l->next)
+  for (struct cfs_pooled_conn *l = s->first; l; l = l->next)
     if (is_stale (p, s, l, now) || is_hung (l, now))
       return l;
   return NULL;
@@ -247,7 +247,7 @@
 {
   for (size_t i = 0; i < p->sites.count; i++)
     {
-      struct cfs_link *l;
+      struct cfs_pooled_conn *l;
 
       while ((l = find_expired (p, cfs_table_at (&p->sites, i), now)))
         if (is_hung (l, now))
@@ -256,17 +256,17 @@
             on_lost (l, "the connection does not come up");
           }
         else
-          cfs_pool_drop (l);
+          cfs_pool_close_conn (l);
     }
 }
 
 /* The idle link of a team, or with team NULL the least recently used one. */
-static struct cfs_link *
+static struct cfs_pooled_conn *
 find_idle (const struct site *s, const char *team)
 {
-  struct cfs_link *last = NULL;
+  struct cfs_pooled_conn *last = NULL;
 
-  for (struct cfs_link *l = s->first; l; l = l->next)
+  for (struct cfs_pooled_conn *l = s->first; l; l = l->next)
     {
       if (!is_idle (l))
         continue;
@@ -278,16 +278,16 @@
   return last;
 }
 
-static struct cfs_link *
+static struct cfs_pooled_conn *
 open_link (struct cfs_pool *p, const struct cfs_target *t, const char *team)
 {
-  struct cfs_link *l = cfs_alloc (sizeof *l);
-  struct cfs_wire_setup setup = { .address = t->address,
-                                  .service = t->service,
-                                  .team = *team ? team : OPEN_TEAM,
-                                  .target = t->id,
-                                  .events = &wire_events,
-                                  .owner = l };
+  struct cfs_pooled_conn *l = cfs_alloc (sizeof *l);
+  struct cfs_target_conn_setup setup = { .address = t->address,
+                                         .service = t->service,
+                                         .team = *team ? team : OPEN_TEAM,
+                                         .target = t->id,
+                                         .events = &wire_events,
+                                         .owner = l };
   struct site *s = site_add (p, t->id);
 
   l->pool = p;
@@ -309,25 +309,25 @@
   return l;
 }
 
-struct cfs_link *
-cfs_pool_take (struct cfs_pool *p, const char *target, const char *team,
-               const struct cfs_link_events *events, void *holder, int64_t now,
-               bool *opening)
+struct cfs_pooled_conn *
+cfs_pool_acquire (struct cfs_pool *p, const char *target, const char *team,
+                  const struct cfs_pooled_conn_events *events, void *holder,
+                  int64_t now, bool *opening)
 {
   const struct cfs_target *t = cfs_fleet_target (p->fleet, target);
   struct site *s = site_add (p, target);
-  struct cfs_link *l = find_idle (s, team);
+  struct cfs_pooled_conn *l = find_idle (s, team);
 
   if (!t || !site_takes_work (s, now))
     return NULL;
   if (!l)
     {
-      struct cfs_link *other = find_idle (s, NULL);
+      struct cfs_pooled_conn *other = find_idle (s, NULL);
 
       if (now < s->down_until)
         return NULL;
       if (site_is_pressed (s, now) && other)
-        cfs_pool_drop (other);
+        cfs_pool_close_conn (other);
       l = open_link (p, t, team);
     }
   else if (s->first != l)
@@ -348,7 +348,7 @@
 }
 
 void
-cfs_pool_give (struct cfs_link *l, int64_t now)
+cfs_pool_release (struct cfs_pooled_conn *l, int64_t now)
 {
   l->holder = NULL;
   if (!l->up)
@@ -358,17 +358,18 @@
 }
 
 const char *
-cfs_pool_any_team (const struct cfs_pool *p, const char *target)
+cfs_pool_idle_team (const struct cfs_pool *p, const char *target)
 {
   const struct site *s = cfs_table_find (&p->sites, target);
-  const struct cfs_link *l = s ? find_idle (s, NULL) : NULL;
+  const struct cfs_pooled_conn *l = s ? find_idle (s, NULL) : NULL;
 
   return l ? l->team : NULL;
 }
 
 void
-cfs_link_send (struct cfs_link *l, const struct cfs_statement *statements,
-               size_t count, int64_t now)
+cfs_pooled_conn_send (struct cfs_pooled_conn *l,
+                      const struct cfs_statement *statements, size_t count,
+                      int64_t now)
 {
   l->due += (unsigned)count;
   site_of (l)->due += (unsigned)count;
@@ -377,31 +378,31 @@
 }
 
 const char *
-cfs_link_target (const struct cfs_link *l)
+cfs_pooled_conn_target (const struct cfs_pooled_conn *l)
 {
   return l->site;
 }
 
 unsigned
-cfs_link_due (const struct cfs_link *l)
+cfs_pooled_conn_pending (const struct cfs_pooled_conn *l)
 {
   return l->due;
 }
 
 GHashTable *
-cfs_link_values (struct cfs_link *l)
+cfs_pooled_conn_values (struct cfs_pooled_conn *l)
 {
   return l->values;
 }
 
 GHashTable *
-cfs_link_prepared (struct cfs_link *l)
+cfs_pooled_conn_prepared (struct cfs_pooled_conn *l)
 {
   return l->prepared;
 }
 
 void
-cfs_link_timed (struct cfs_link *l, int64_t took_us)
+cfs_pooled_conn_record_latency (struct cfs_pooled_conn *l, int64_t took_us)
 {
   site_note_served (site_of (l), took_us, cfs_pool_now (l->pool));
 }
--- a/src/connection/pool.h
+++ b/src/connection/pool.h
@@ -12,21 +12,21 @@
 #define CFS_POOL_H
 
 #include "../process/fleet.h"
-#include "edge.h"
+#include "adapter.h"
 
 #include <glib.h>
 
 struct cfs_pool;
-struct cfs_link;
+struct cfs_pooled_conn;
 
 /**
- * struct cfs_link_events - what a link tells its holder
+ * struct cfs_pooled_conn_events - what a link tells its holder
  * @opened: the connection is up, or was refused; a refused link is freed
  * before this is called
  * @replied: the oldest statement without a reply ended
  * @lost: the link is freed before this is called
  */
-struct cfs_link_events
+struct cfs_pooled_conn_events
 {
   void (*opened) (void *holder, const struct cfs_reply *reply);
   void (*replied) (void *holder, const struct cfs_reply *reply);
@@ -42,7 +42,7 @@
  *
  * Return: freed by cfs_pool_free().
  */
-struct cfs_pool *cfs_pool_new (const struct cfs_target_edge *edge,
+struct cfs_pool *cfs_pool_new (const struct cfs_target_adapter *edge,
                                const struct cfs_fleet *fleet,
                                int64_t (*clock) (void), uint64_t seed);
 
@@ -56,7 +56,7 @@
 void cfs_pool_tick (struct cfs_pool *pool, int64_t now);
 
 /**
- * cfs_pool_take() - a link for a holder
+ * cfs_pool_acquire() - a link for a holder
  * @target: name of the instance
  * @team: team on whose behalf statements run
  * @now: time
@@ -64,16 +64,17 @@
  *
  * Return: the link, or NULL when there is no room for one now.
  */
-struct cfs_link *cfs_pool_take (struct cfs_pool *pool, const char *target,
-                                const char *team,
-                                const struct cfs_link_events *events,
-                                void *holder, int64_t now, bool *opening);
+struct cfs_pooled_conn *
+cfs_pool_acquire (struct cfs_pool *pool, const char *target, const char *team,
+                  const struct cfs_pooled_conn_events *events, void *holder,
+                  int64_t now, bool *opening);
 
-/** cfs_pool_give() - takes a link back; closes it when it cannot be reused */
-void cfs_pool_give (struct cfs_link *link, int64_t now);
+/** cfs_pool_release() - takes a link back; closes it when it cannot be reused
+ */
+void cfs_pool_release (struct cfs_pooled_conn *link, int64_t now);
 
-/** cfs_pool_drop() - closes a link at once */
-void cfs_pool_drop (struct cfs_link *link);
+/** cfs_pool_close_conn() - closes a link at once */
+void cfs_pool_close_conn (struct cfs_pooled_conn *link);
 
 /**
  * cfs_pool_choose() - the instance that is likely to answer first
@@ -121,38 +122,40 @@
                         void (*each) (void *ctx, const char *target),
                         void *ctx);
 
-/** cfs_pool_any_team() - a team with an idle link to an instance, or NULL */
-const char *cfs_pool_any_team (const struct cfs_pool *pool,
-                               const char *target);
+/** cfs_pool_idle_team() - a team with an idle link to an instance, or NULL */
+const char *cfs_pool_idle_team (const struct cfs_pool *pool,
+                                const char *target);
 
-/** cfs_link_send() - hands statements over; each gets one reply */
-void cfs_link_send (struct cfs_link *link,
-                    const struct cfs_statement *statements, size_t count,
-                    int64_t now);
+/** cfs_pooled_conn_send() - hands statements over; each gets one reply */
+void cfs_pooled_conn_send (struct cfs_pooled_conn *link,
+                           const struct cfs_statement *statements,
+                           size_t count, int64_t now);
 
-/** cfs_link_target() - name of the instance */
-const char *cfs_link_target (const struct cfs_link *link);
+/** cfs_pooled_conn_target() - name of the instance */
+const char *cfs_pooled_conn_target (const struct cfs_pooled_conn *link);
 
-/** cfs_link_due() - statements without a reply */
-unsigned cfs_link_due (const struct cfs_link *link);
+/** cfs_pooled_conn_pending() - statements without a reply */
+unsigned cfs_pooled_conn_pending (const struct cfs_pooled_conn *link);
 
 /**
- * cfs_link_timed() - tells how long a read or write took
+ * cfs_pooled_conn_record_latency() - tells how long a read or write took
  *
  * The choice of instances builds on it.
  */
-void cfs_link_timed (struct cfs_link *link, int64_t took_us);
+void cfs_pooled_conn_record_latency (struct cfs_pooled_conn *link,
+                                     int64_t took_us);
 
 /**
- * cfs_link_values() - values that are set on the link
+ * cfs_pooled_conn_values() - values that are set on the link
  *
  * The table belongs to the link and is changed by whoever holds it, together
  * with the statements that make it true.
  */
-GHashTable *cfs_link_values (struct cfs_link *link);
+GHashTable *cfs_pooled_conn_values (struct cfs_pooled_conn *link);
 
-/** cfs_link_prepared() - names that are prepared on the link; as above */
-GHashTable *cfs_link_prepared (struct cfs_link *link);
+/** cfs_pooled_conn_prepared() - names that are prepared on the link; as above
+ */
+GHashTable *cfs_pooled_conn_prepared (struct cfs_pooled_conn *link);
 
 /** cfs_pool_metrics() - appends counters */
 void cfs_pool_metrics (const struct cfs_pool *pool, GString *out);
--- a/src/connection/pool_int.h
+++ b/src/connection/pool_int.h
@@ -26,7 +26,7 @@
 struct site
 {
   char id[CFS_NAME_MAX];
-  struct cfs_link *first;
+  struct cfs_pooled_conn *first;
   size_t count;
   size_t opening;
   unsigned due;
@@ -51,7 +51,7 @@
 
 struct cfs_pool
 {
-  const struct cfs_target_edge *edge;
+  const struct cfs_target_adapter *edge;
   const struct cfs_fleet *fleet;
   int64_t (*clock) (void);
   uint64_t seed;
--- a/src/connection/sample.c
+++ b/src/connection/sample.c
@@ -43,7 +43,7 @@
   int64_t wanted_at;
   int64_t wanted_age;
   char team[CFS_NAME_MAX];
-  struct cfs_link *link;
+  struct cfs_pooled_conn *link;
   int64_t asked_at;
   int64_t pause_until;
 };
@@ -71,7 +71,7 @@
   for (size_t i = 0; i < s->count; i++)
     {
       if (s->rows[i]->link)
-        cfs_pool_drop (s->rows[i]->link);
+        cfs_pool_close_conn (s->rows[i]->link);
       free (s->rows[i]);
     }
   free (s->rows);
@@ -143,7 +143,7 @@
   struct cfs_statement begin = { .verb = VERB_BEGIN };
 
   r->asked_at = now;
-  cfs_link_send (r->link, &begin, 1, now);
+  cfs_pooled_conn_send (r->link, &begin, 1, now);
 }
 
 static void
@@ -162,7 +162,7 @@
 {
   struct row *r = holder;
   struct cfs_statement end = { .verb = VERB_ROLLBACK };
-  struct cfs_link *link = r->link;
+  struct cfs_pooled_conn *link = r->link;
   int64_t now = cfs_pool_now (r->owner->pool);
 
   if (reply->code == REPLY_OK)
@@ -173,13 +173,13 @@
   else
     {
       if (reply->code == REPLY_NOT_PRIMARY)
-        cfs_pool_note_not_primary (r->owner->pool, cfs_link_target (link),
-                                   now);
+        cfs_pool_note_not_primary (r->owner->pool,
+                                   cfs_pooled_conn_target (link), now);
       stop_asking (r, now);
     }
   if (reply->state != TX_IDLE)
-    cfs_link_send (link, &end, 1, now);
-  cfs_pool_give (link, now);
+    cfs_pooled_conn_send (link, &end, 1, now);
+  cfs_pool_release (link, now);
 }
 
 static void
@@ -191,7 +191,7 @@
   stop_asking (r, cfs_pool_now (r->owner->pool));
 }
 
-static const struct cfs_link_events events
+static const struct cfs_pooled_conn_events events
     = { on_opened, on_replied, on_lost };
 
 static void
@@ -204,10 +204,11 @@
 
   if (r->link || now < r->pause_until || !primary)
     return;
-  idle = cfs_pool_any_team (r->owner->pool, primary->id);
+  idle = cfs_pool_idle_team (r->owner->pool, primary->id);
   r->asked_at = now;
-  r->link = cfs_pool_take (r->owner->pool, primary->id, idle ? idle : r->team,
-                           &events, r, now, &opening);
+  r->link
+      = cfs_pool_acquire (r->owner->pool, primary->id, idle ? idle : r->team,
+                          &events, r, now, &opening);
   if (!r->link)
     stop_asking (r, now);
   else if (!opening)
@@ -215,9 +216,9 @@
 }
 
 bool
-cfs_samples_need (struct cfs_samples *s, const char *service,
-                  int64_t max_age_us, const char *team, int64_t now,
-                  struct cfs_position *out)
+cfs_samples_min_position (struct cfs_samples *s, const char *service,
+                          int64_t max_age_us, const char *team, int64_t now,
+                          struct cfs_position *out)
 {
   struct row *r = row_of (s, service);
 
@@ -246,8 +247,8 @@
   if (r->link && now - r->asked_at > ASK_MAX_US)
     {
       cfs_log (CFS_NOTICE, PART, "service=%s target=%s gives no position",
-               r->service, cfs_link_target (r->link));
-      cfs_pool_drop (r->link);
+               r->service, cfs_pooled_conn_target (r->link));
+      cfs_pool_close_conn (r->link);
       stop_asking (r, now);
     }
   if (r->wanted_at && now - r->wanted_at < WANTED_US
--- a/src/connection/sample.h
+++ b/src/connection/sample.h
@@ -26,16 +26,17 @@
                       const struct cfs_position *position, int64_t asked_at);
 
 /**
- * cfs_samples_need() - least position that covers what a read must see
+ * cfs_samples_min_position() - least position that covers what a read must see
  * @max_age_us: commits acknowledged longer ago must be seen
  * @team: team on whose behalf the primary is asked when there is none
  * @out: written
  *
  * Return: whether a sample is young enough; if not, the primary is asked.
  */
-bool cfs_samples_need (struct cfs_samples *samples, const char *service,
-                       int64_t max_age_us, const char *team, int64_t now,
-                       struct cfs_position *out);
+bool cfs_samples_min_position (struct cfs_samples *samples,
+                               const char *service, int64_t max_age_us,
+                               const char *team, int64_t now,
+                               struct cfs_position *out);
 
 /** cfs_samples_tick() - asks primaries ahead where reads need it */
 void cfs_samples_tick (struct cfs_samples *samples, int64_t now);
--- a/src/connection/session.c
+++ b/src/connection/session.c
@@ -59,7 +59,7 @@
 {
   const struct cfs_fleet *f = s->owner->setup.fleet;
   const struct cfs_route *route;
-  const struct cfs_member_team *team;
+  const struct cfs_team_limits *team;
 
   *code = REPLY_BUSY;
   if (!f->catalog)
@@ -86,7 +86,7 @@
 session_key_holds (const struct cfs_session *s, int64_t now)
 {
   const struct cfs_fleet *f = s->owner->setup.fleet;
-  const struct cfs_member_team *team;
+  const struct cfs_team_limits *team;
 
   if (s->route.open)
     return true;
@@ -186,21 +186,21 @@
 session_abandon (struct cfs_session *s, int64_t now)
 {
   struct cfs_statement end = { .verb = VERB_ROLLBACK };
-  struct cfs_link *link = s->link;
+  struct cfs_pooled_conn *link = s->link;
 
   s->link = NULL;
   if (!link)
     return;
-  if (cfs_link_due (link) > 0)
+  if (cfs_pooled_conn_pending (link) > 0)
     {
-      cfs_pool_drop (link);
+      cfs_pool_close_conn (link);
       s->on_link = false;
       return;
     }
   if (s->on_link)
-    cfs_link_send (link, &end, 1, now);
+    cfs_pooled_conn_send (link, &end, 1, now);
   s->on_link = false;
-  cfs_pool_give (link, now);
+  cfs_pool_release (link, now);
 }
 
 /* Whether the effect of what the instance has in hand must not be cut off. */
@@ -214,12 +214,12 @@
 }
 
 void
-cfs_session_gone (struct cfs_session *s)
+cfs_session_close (struct cfs_session *s)
 {
   int64_t now = session_now (s);
 
   if (s->link && keeps_effect (s))
-    cfs_pool_give (s->link, now);
+    cfs_pool_release (s->link, now);
   else
     session_abandon (s, now);
   if (s->op.phase != OP_NONE)
@@ -535,13 +535,13 @@
 }
 
 void
-cfs_sessions_refuse (struct cfs_sessions *ss)
+cfs_sessions_stop_accepting (struct cfs_sessions *ss)
 {
   ss->draining = true;
 }
 
 size_t
-cfs_sessions_open (const struct cfs_sessions *ss)
+cfs_sessions_count (const struct cfs_sessions *ss)
 {
   return ss->count;
 }
--- a/src/connection/session.h
+++ b/src/connection/session.h
@@ -46,11 +46,11 @@
 void cfs_sessions_drain (struct cfs_sessions *sessions, int64_t rest_us,
                          bool abandon, int64_t now);
 
-/** cfs_sessions_refuse() - takes no new sessions from here on */
-void cfs_sessions_refuse (struct cfs_sessions *sessions);
+/** cfs_sessions_stop_accepting() - takes no new sessions from here on */
+void cfs_sessions_stop_accepting (struct cfs_sessions *sessions);
 
-/** cfs_sessions_open() - number of sessions */
-size_t cfs_sessions_open (const struct cfs_sessions *sessions);
+/** cfs_sessions_count() - number of sessions */
+size_t cfs_sessions_count (const struct cfs_sessions *sessions);
 
 /** cfs_sessions_metrics() - appends counters and histograms */
 void cfs_sessions_metrics (const struct cfs_sessions *sessions, GString *out);
@@ -64,7 +64,7 @@
  * not know enough yet: then the admitted event follows, or to why the caller
  * is refused
  *
- * Return: a session, ended by cfs_session_gone() or by closing @caller; or
+ * Return: a session, ended by cfs_session_close() or by closing @caller; or
  * NULL.
  */
 struct cfs_session *cfs_session_open (struct cfs_sessions *sessions,
@@ -83,7 +83,7 @@
 /** cfs_session_state() - state of the session's transaction */
 enum cfs_tx_state cfs_session_state (const struct cfs_session *session);
 
-/** cfs_session_gone() - the caller left; frees the session */
-void cfs_session_gone (struct cfs_session *session);
+/** cfs_session_close() - the caller left; frees the session */
+void cfs_session_close (struct cfs_session *session);
 
 #endif
--- a/src/connection/session_int.h
+++ b/src/connection/session_int.h
@@ -97,7 +97,7 @@
   bool wrote;
   bool answered;
   int64_t rested_at;
-  struct cfs_link *link;
+  struct cfs_pooled_conn *link;
   struct op op;
 };
 
--- a/src/connection/session_run.c
+++ b/src/connection/session_run.c
@@ -66,8 +66,8 @@
   bool commit = s->op.statement.verb == VERB_COMMIT;
 
   if (s->link && code == REPLY_TIMEOUT)
-    cfs_pool_note_stuck (s->owner->setup.pool, cfs_link_target (s->link), true,
-                         now);
+    cfs_pool_note_stuck (s->owner->setup.pool,
+                         cfs_pooled_conn_target (s->link), true, now);
   if (s->state == TX_OPEN && !(commit && s->wrote))
     {
       fail_transaction (s, text, now);
@@ -106,7 +106,7 @@
   s->op.sent_at = now;
   if (s->op.writes)
     s->wrote = true;
-  cfs_link_send (s->link, rows, count, now);
+  cfs_pooled_conn_send (s->link, rows, count, now);
 }
 
 static void
@@ -124,7 +124,7 @@
   session_setup (s, &u);
   if (u.count == SETUP_MAX)
     {
-      cfs_pool_drop (s->link);
+      cfs_pool_close_conn (s->link);
       s->link = NULL;
       session_reply (s, REPLY_FAILED, "too many values");
       return;
@@ -137,7 +137,7 @@
   s->op.phase = OP_SETUP;
   s->op.setup_due = (unsigned)u.count;
   s->op.opened_at = now;
-  cfs_link_send (s->link, u.rows, u.count, now);
+  cfs_pooled_conn_send (s->link, u.rows, u.count, now);
 }
 
 static void
@@ -164,7 +164,7 @@
   return t;
 }
 
-static const struct cfs_link_events link_events;
+static const struct cfs_pooled_conn_events link_events;
 
 static void
 run_link (struct cfs_session *s, int64_t now)
@@ -174,7 +174,8 @@
 
   if (s->on_link)
     {
-      cfs_copy (s->op.target, sizeof s->op.target, cfs_link_target (s->link));
+      cfs_copy (s->op.target, sizeof s->op.target,
+                cfs_pooled_conn_target (s->link));
       use_link (s);
       return;
     }
@@ -185,8 +186,8 @@
       s->op.phase = OP_POSITION;
       return;
     }
-  s->link = cfs_pool_take (s->owner->setup.pool, t->id, s->team, &link_events,
-                           s, now, &opening);
+  s->link = cfs_pool_acquire (s->owner->setup.pool, t->id, s->team,
+                              &link_events, s, now, &opening);
   if (!s->link)
     {
       add_tried (&s->op, t->id);
@@ -213,8 +214,8 @@
   memset (&op->need, 0, sizeof op->need);
   if (session_wants_primary (s))
     return true;
-  if (!cfs_samples_need (s->owner->samples, s->service, s->route.max_age_us,
-                         s->team, now, &op->need))
+  if (!cfs_samples_min_position (s->owner->samples, s->service,
+                                 s->route.max_age_us, s->team, now, &op->need))
     {
       op->last = REPLY_BEHIND;
       return false;
@@ -283,7 +284,7 @@
   struct op *op = &s->op;
 
   if (s->link)
-    add_tried (op, cfs_link_target (s->link));
+    add_tried (op, cfs_pooled_conn_target (s->link));
   session_abandon (s, now);
   s->owner->stats.retries++;
   op->last = why;
@@ -315,8 +316,8 @@
   else if (op->phase == OP_OPENING && !session_wants_primary (s)
            && now - op->opened_at > OPEN_PATIENCE_US)
     {
-      cfs_pool_note_slow (s->owner->setup.pool, cfs_link_target (s->link),
-                          now);
+      cfs_pool_note_slow (s->owner->setup.pool,
+                          cfs_pooled_conn_target (s->link), now);
       start_over (s, REPLY_NO_CONNECTION, 0, now);
     }
   else
@@ -342,7 +343,7 @@
 note_refusal (struct cfs_session *s, enum cfs_reply_code code, int64_t now)
 {
   struct cfs_pool *pool = s->owner->setup.pool;
-  const char *target = cfs_link_target (s->link);
+  const char *target = cfs_pooled_conn_target (s->link);
 
   if (code == REPLY_NOT_PRIMARY)
     cfs_pool_note_not_primary (pool, target, now);
@@ -364,8 +365,8 @@
       note_refusal (s, r->code, now);
       if (op->setup_due > 0 || !op->opens || r->state != TX_IDLE)
         {
-          add_tried (op, cfs_link_target (s->link));
-          cfs_pool_drop (s->link);
+          add_tried (op, cfs_pooled_conn_target (s->link));
+          cfs_pool_close_conn (s->link);
           s->link = NULL;
           s->on_link = false;
         }
@@ -393,11 +394,11 @@
 static void
 release_link (struct cfs_session *s, int64_t now)
 {
-  struct cfs_link *link = s->link;
+  struct cfs_pooled_conn *link = s->link;
 
   s->link = NULL;
   s->on_link = false;
-  cfs_pool_give (link, now);
+  cfs_pool_release (link, now);
 }
 
 static void
@@ -419,12 +420,12 @@
       give_up (s, REPLY_FAILED, "the instance gave no proof", now);
       return;
     }
-  cfs_link_timed (s->link, now - s->op.sent_at);
+  cfs_pooled_conn_record_latency (s->link, now - s->op.sent_at);
   if ((s->state == TX_IDLE && s->op.writes) || (commit && s->wrote))
     {
       note_own (s, &r->position);
-      cfs_pool_note_stuck (s->owner->setup.pool, cfs_link_target (s->link),
-                           false, now);
+      cfs_pool_note_stuck (s->owner->setup.pool,
+                           cfs_pooled_conn_target (s->link), false, now);
     }
   s->answered = true;
   if (s->state == TX_IDLE || commit)
@@ -480,7 +481,7 @@
 take_single_error (struct cfs_session *s, const struct cfs_reply *r,
                    int64_t now)
 {
-  add_tried (&s->op, cfs_link_target (s->link));
+  add_tried (&s->op, cfs_pooled_conn_target (s->link));
   release_link (s, now);
   if (is_not_run (r->code))
     start_over (s, r->code, r->code == REPLY_BUSY ? BUSY_PAUSE_US : 0, now);
@@ -516,8 +517,8 @@
   else if (s->op.phase != OP_RUN)
     {
       cfs_log (CFS_WARNING, PART, "target=%s an answer without a question",
-               cfs_link_target (s->link));
-      cfs_pool_drop (s->link);
+               cfs_pooled_conn_target (s->link));
+      cfs_pool_close_conn (s->link);
       s->link = NULL;
       s->on_link = false;
     }
@@ -547,5 +548,5 @@
     give_up (s, REPLY_FAILED, reason, now);
 }
 
-static const struct cfs_link_events link_events
+static const struct cfs_pooled_conn_events link_events
     = { on_opened, on_replied, on_lost };
--- a/src/connection/session_setup.c
+++ b/src/connection/session_setup.c
@@ -44,7 +44,7 @@
 setup_reset (struct cfs_session *s, struct setup *u)
 {
   struct cfs_statement reset = { .verb = VERB_RESET };
-  GHashTable *on_link = cfs_link_values (s->link);
+  GHashTable *on_link = cfs_pooled_conn_values (s->link);
   GHashTableIter i;
   void *name;
 
@@ -54,7 +54,7 @@
       {
         add_row (u, &reset);
         g_hash_table_remove_all (on_link);
-        g_hash_table_remove_all (cfs_link_prepared (s->link));
+        g_hash_table_remove_all (cfs_pooled_conn_prepared (s->link));
         return;
       }
 }
@@ -62,7 +62,7 @@
 static void
 setup_values (struct cfs_session *s, struct setup *u)
 {
-  GHashTable *on_link = cfs_link_values (s->link);
+  GHashTable *on_link = cfs_pooled_conn_values (s->link);
   GHashTableIter i;
   void *name;
   void *value;
@@ -84,7 +84,7 @@
 static void
 setup_shape (struct cfs_session *s, struct setup *u)
 {
-  GHashTable *on_link = cfs_link_prepared (s->link);
+  GHashTable *on_link = cfs_pooled_conn_prepared (s->link);
   const struct prepared *p;
   struct cfs_statement prepare = { .verb = VERB_PREPARE };
 
--- a/src/process/control.h
+++ b/src/process/control.h
@@ -81,7 +81,7 @@
 struct cfs_control_fleet
 {
   const struct cfs_document_edge *documents;
-  const struct cfs_target_edge *targets;
+  const struct cfs_target_adapter *targets;
   void (*order) (void *ctx, const char *service, const char *target,
                  uint64_t fence);
   void *ctx;
--- a/src/process/core.c
+++ b/src/process/core.c
@@ -28,7 +28,7 @@
   struct cfs_loop *loop;
   struct cfs_control *control;
   struct desk *desk;
-  struct cfs_target_edge *targets;
+  struct cfs_target_adapter *targets;
   struct promotion *promotion;
 };
 
--- a/src/process/front.c
+++ b/src/process/front.c
@@ -48,7 +48,7 @@
   struct cfs_loop *loop;
   struct cfs_fleet fleet;
   struct cfs_quota quota;
-  struct cfs_target_edge *edge;
+  struct cfs_target_adapter *edge;
   struct cfs_pool *pool;
   struct cfs_sessions *sessions;
   struct callers *callers;
@@ -341,11 +341,11 @@
 {
   turn (f);
   if (part > REFUSE_NEW_PART)
-    cfs_sessions_refuse (f->sessions);
+    cfs_sessions_stop_accepting (f->sessions);
   if (part > CLOSE_RESTING_PART)
     cfs_sessions_drain (f->sessions, part > REFUSE_NEW_PART ? 0 : REST_US,
                         part > ABANDON_PART, cfs_now ());
-  return part > REFUSE_NEW_PART && cfs_sessions_open (f->sessions) == 0;
+  return part > REFUSE_NEW_PART && cfs_sessions_count (f->sessions) == 0;
 }
 
 static void
@@ -372,8 +372,8 @@
   while (!*stop)
     turn (f);
   cfs_log (CFS_NOTICE, PART, "stops with sessions=%zu",
-           cfs_sessions_open (f->sessions));
+           cfs_sessions_count (f->sessions));
   drain (f);
   cfs_log (CFS_NOTICE, PART, "stopped with sessions=%zu",
-           cfs_sessions_open (f->sessions));
+           cfs_sessions_count (f->sessions));
 }
--- a/src/process/leader_reply.c
+++ b/src/process/leader_reply.c
@@ -203,7 +203,7 @@
   for (size_t i = 0; i < in->n_uses; i++)
     {
       const Cfs__TeamUse *use = in->uses[i];
-      const struct cfs_member_team *team = cfs_catalog_team (c, use->team);
+      const struct cfs_team_limits *team = cfs_catalog_team (c, use->team);
       size_t n = rows->msg.n_shares;
 
       if (!team || n >= c->team_count)
@@ -233,7 +233,7 @@
   for (size_t i = 0; i < ask->n_teams; i++)
     {
       const Cfs__TeamTokens *in = ask->teams[i];
-      const struct cfs_member_team *team
+      const struct cfs_team_limits *team
           = l->catalog ? cfs_catalog_team (l->catalog, in->team) : NULL;
       Cfs__TeamTokens *out = &rows->teams[i];
 
--- a/src/process/succession.c
+++ b/src/process/succession.c
@@ -40,7 +40,7 @@
 
 struct cfs_succession *
 cfs_succession_new (const struct cfs_succession_ops *ops, void *ctx,
-                    const struct cfs_target_edge *edge,
+                    const struct cfs_target_adapter *edge,
                     const struct cfs_state *state, int64_t (*clock) (void))
 {
   struct cfs_succession *s = cfs_alloc (sizeof *s);
--- a/src/process/succession.h
+++ b/src/process/succession.h
@@ -15,7 +15,7 @@
 #ifndef CFS_SUCCESSION_H
 #define CFS_SUCCESSION_H
 
-#include "../connection/edge.h"
+#include "../connection/adapter.h"
 #include "state.h"
 
 struct cfs_succession;
@@ -55,7 +55,7 @@
  */
 struct cfs_succession *
 cfs_succession_new (const struct cfs_succession_ops *ops, void *ctx,
-                    const struct cfs_target_edge *edge,
+                    const struct cfs_target_adapter *edge,
                     const struct cfs_state *state, int64_t (*clock) (void));
 
 /** cfs_succession_free() - closes all connections */
--- a/src/process/succession_int.h
+++ b/src/process/succession_int.h
@@ -35,7 +35,7 @@
   struct cfs_succession *owner;
   char target[CFS_NAME_MAX];
   uint64_t born;
-  struct cfs_wire *wire;
+  struct cfs_target_conn *wire;
   bool up;
   bool asking;
   bool paused;
@@ -76,7 +76,7 @@
 {
   const struct cfs_succession_ops *ops;
   void *ctx;
-  const struct cfs_target_edge *edge;
+  const struct cfs_target_adapter *edge;
   const struct cfs_state *state;
   int64_t (*clock) (void);
   struct reign **reigns;
--- a/src/process/succession_probe.c
+++ b/src/process/succession_probe.c
@@ -107,19 +107,19 @@
   p->retry_at = p->owner->clock () + RECONNECT_US;
 }
 
-static const struct cfs_wire_events events
+static const struct cfs_target_conn_events events
     = { on_opened, on_replied, on_lost };
 
 static void
 open_probe (struct cfs_succession *s, struct probe *p,
             const struct cfs_target *t, int64_t now)
 {
-  struct cfs_wire_setup setup = { .address = t->address,
-                                  .service = t->service,
-                                  .team = TEAM,
-                                  .target = t->id,
-                                  .events = &events,
-                                  .owner = p };
+  struct cfs_target_conn_setup setup = { .address = t->address,
+                                         .service = t->service,
+                                         .team = TEAM,
+                                         .target = t->id,
+                                         .events = &events,
+                                         .owner = p };
 
   if (p->wire || now < p->retry_at)
     return;
--- a/src/process/traffic.c
+++ b/src/process/traffic.c
@@ -62,7 +62,7 @@
 }
 
 static void
-on_request (void *ctx, struct cfs_call *call)
+on_request (void *ctx, struct cfs_http_request *call)
 {
   cfs_entry_request (((struct cfs_traffic *)ctx)->entry, call);
 }
@@ -270,7 +270,7 @@
 is_drained (const struct cfs_traffic *t)
 {
   return cfs_gates_held (t->gates) == 0 && cfs_entry_open (t->entry) == 0
-         && cfs_http_open_calls (t->http) == 0;
+         && cfs_http_open_requests (t->http) == 0;
 }
 
 void
--- a/src/request/entry.c
+++ b/src/request/entry.c
@@ -25,10 +25,10 @@
 }
 
 const char *
-entry_bearer (const struct cfs_call *call)
+entry_bearer (const struct cfs_http_request *call)
 {
   static const char scheme[] = "Bearer ";
-  const char *text = cfs_call_header (call, "Authorization");
+  const char *text = cfs_http_request_header (call, "Authorization");
 
   if (!text || strncasecmp (text, scheme, sizeof scheme - 1) != 0)
     return NULL;
@@ -36,13 +36,13 @@
 }
 
 static void
-answer_problem (struct cfs_entry *e, struct cfs_call *call, enum cfs_code code,
-                enum cfs_outcome outcome, const char *detail,
-                const char *session)
+answer_problem (struct cfs_entry *e, struct cfs_http_request *call,
+                enum cfs_code code, enum cfs_outcome outcome,
+                const char *detail, const char *session)
 {
-  struct cfs_answer a = { .status = cfs_code_http (code),
-                          .type = "application/problem+json",
-                          .session = session };
+  struct cfs_http_response a = { .status = cfs_code_http (code),
+                                 .type = "application/problem+json",
+                                 .session = session };
   cJSON *doc = cJSON_CreateObject ();
   char *text;
 
@@ -58,14 +58,15 @@
   if (a.status == HTTP_UNAVAILABLE || code == CFS_CODE_RATE_LIMITED)
     a.retry_after = 1;
   e->answers[code]++;
-  cfs_call_answer (call, &a);
+  cfs_http_respond (call, &a);
   free (text);
   cJSON_Delete (doc);
 }
 
 void
-entry_problem (struct cfs_entry *e, struct cfs_call *call, enum cfs_code code,
-               enum cfs_outcome outcome, const char *detail)
+entry_problem (struct cfs_entry *e, struct cfs_http_request *call,
+               enum cfs_code code, enum cfs_outcome outcome,
+               const char *detail)
 {
   answer_problem (e, call, code, outcome, detail, NULL);
 }
@@ -194,7 +195,7 @@
 void
 cfs_entry_free (struct cfs_entry *e)
 {
-  struct cfs_answer gone = { .status = HTTP_UNAVAILABLE, .body = "{}" };
+  struct cfs_http_response gone = { .status = HTTP_UNAVAILABLE, .body = "{}" };
 
   if (!e)
     return;
@@ -202,7 +203,7 @@
   while (e->jobs)
     entry_finish (e->jobs, CFS_CODE_DRAINING, outcome_of (e->jobs), NULL);
   for (size_t i = 0; i < e->call_count; i++)
-    cfs_call_answer (e->calls[i].call, &gone);
+    cfs_http_respond (e->calls[i].call, &gone);
   free (e->calls);
   cfs_table_end (&e->announced);
   apr_pool_destroy (e->pool);
@@ -318,7 +319,7 @@
 static void
 answer_done (struct entry_job *j, const Cfs__Answer *in)
 {
-  struct cfs_answer a = { .status = HTTP_OK };
+  struct cfs_http_response a = { .status = HTTP_OK };
   char session[TOKEN_TEXT_MAX];
   char *body;
 
@@ -334,7 +335,7 @@
   a.body = body;
   a.session = session;
   j->entry->answers[CFS_CODE_OK]++;
-  cfs_call_answer (j->call, &a);
+  cfs_http_respond (j->call, &a);
   g_free (body);
   end_job (j);
 }
@@ -481,21 +482,21 @@
 }
 
 static void
-answer_health (struct cfs_call *call, bool ok)
+answer_health (struct cfs_http_request *call, bool ok)
 {
-  struct cfs_answer a = { .status = ok ? HTTP_OK : HTTP_UNAVAILABLE,
-                          .type = "text/plain",
-                          .body = ok ? "ok\n" : "not ready\n" };
+  struct cfs_http_response a = { .status = ok ? HTTP_OK : HTTP_UNAVAILABLE,
+                                 .type = "text/plain",
+                                 .body = ok ? "ok\n" : "not ready\n" };
 
-  cfs_call_answer (call, &a);
+  cfs_http_respond (call, &a);
 }
 
 static void
-answer_metrics (struct cfs_entry *e, struct cfs_call *call)
+answer_metrics (struct cfs_entry *e, struct cfs_http_request *call)
 {
   const struct cfs_directory *d = e->setup.directory;
   GString *out = g_string_new (NULL);
-  struct cfs_answer a = { .status = HTTP_OK, .type = "text/plain" };
+  struct cfs_http_response a = { .status = HTTP_OK, .type = "text/plain" };
 
   for (int c = 0; c < CFS_CODE_COUNT; c++)
     g_string_append_printf (
@@ -509,7 +510,7 @@
                           cfs_directory_leased (d, cfs_now ()));
   e->setup.metrics (e->setup.ctx, out);
   a.body = out->str;
-  cfs_call_answer (call, &a);
+  cfs_http_respond (call, &a);
   g_string_free (out, TRUE);
 }
 
@@ -529,10 +530,10 @@
 }
 
 static void
-versioned_request (struct cfs_entry *e, struct cfs_call *call)
+versioned_request (struct cfs_entry *e, struct cfs_http_request *call)
 {
   char *parts[PATH_PARTS_MAX];
-  char *path = cfs_strdup (cfs_call_path (call));
+  char *path = cfs_strdup (cfs_http_request_path (call));
   size_t count = split_path (path, parts);
   const char *first = count ? parts[0] : "";
 
@@ -550,9 +551,9 @@
 }
 
 void
-cfs_entry_request (struct cfs_entry *e, struct cfs_call *call)
+cfs_entry_request (struct cfs_entry *e, struct cfs_http_request *call)
 {
-  const char *path = cfs_call_path (call);
+  const char *path = cfs_http_request_path (call);
 
   if (strcmp (path, "/healthz") == 0)
     answer_health (call, true);
--- a/src/request/entry.h
+++ b/src/request/entry.h
@@ -39,7 +39,8 @@
 void cfs_entry_free (struct cfs_entry *entry);
 
 /** cfs_entry_request() - a whole HTTP request */
-void cfs_entry_request (struct cfs_entry *entry, struct cfs_call *call);
+void cfs_entry_request (struct cfs_entry *entry,
+                        struct cfs_http_request *call);
 
 /** cfs_entry_answer() - a gate answered */
 void cfs_entry_answer (struct cfs_entry *entry, const Cfs__Answer *in,
--- a/src/request/entry_int.h
+++ b/src/request/entry_int.h
@@ -41,7 +41,7 @@
 {
   struct cfs_request request;
   struct cfs_entry *entry;
-  struct cfs_call *call;
+  struct cfs_http_request *call;
   struct cfs_token token;
   enum job_state state;
   uint64_t id;
@@ -71,7 +71,7 @@
 struct operator_call
 {
   uint64_t id;
-  struct cfs_call *call;
+  struct cfs_http_request *call;
 };
 
 struct cfs_entry
@@ -96,19 +96,19 @@
 uint64_t entry_id (struct cfs_entry *entry);
 
 /** entry_problem() - answers with problem+json */
-void entry_problem (struct cfs_entry *entry, struct cfs_call *call,
+void entry_problem (struct cfs_entry *entry, struct cfs_http_request *call,
                     enum cfs_code code, enum cfs_outcome outcome,
                     const char *detail);
 
 /** entry_bearer() - the presented key, or NULL */
-const char *entry_bearer (const struct cfs_call *call);
+const char *entry_bearer (const struct cfs_http_request *call);
 
 /** statement_request() - /v1/groups/... and /v1/sheets/... */
-void statement_request (struct cfs_entry *entry, struct cfs_call *call,
+void statement_request (struct cfs_entry *entry, struct cfs_http_request *call,
                         char **parts, size_t count);
 
 /** operate_request() - /v1/config, /v1/audit, /v1/status, /v1/announce */
-void operate_request (struct cfs_entry *entry, struct cfs_call *call,
+void operate_request (struct cfs_entry *entry, struct cfs_http_request *call,
                       const char *what);
 
 /** entry_submit() - takes a checked job into admission */
--- a/src/request/operate.c
+++ b/src/request/operate.c
@@ -116,9 +116,9 @@
 }
 
 static void
-take_announcement (struct cfs_entry *e, struct cfs_call *call)
+take_announcement (struct cfs_entry *e, struct cfs_http_request *call)
 {
-  struct cfs_answer ok = { .status = HTTP_OK, .body = "{}" };
+  struct cfs_http_response ok = { .status = HTTP_OK, .body = "{}" };
   GError *error = NULL;
   cJSON *doc;
   Cfs__Instance in;
@@ -129,7 +129,7 @@
                      "not the key of targets");
       return;
     }
-  doc = cfs_json_parse (cfs_call_body (call), "body", &error);
+  doc = cfs_json_parse (cfs_http_request_body (call), "body", &error);
   if (!doc || !cfs_schema_check (doc, announce_fields, "body", &error))
     entry_problem (e, call, CFS_CODE_BAD_REQUEST, CFS_NOT_RUN, error->message);
   else
@@ -137,7 +137,7 @@
       fill_instance (doc, &in);
       pass_to_gate (e, &in);
       pass_to_leader (e, &in, cfs_now ());
-      cfs_call_answer (call, &ok);
+      cfs_http_respond (call, &ok);
     }
   g_clear_error (&error);
   cJSON_Delete (doc);
@@ -145,9 +145,9 @@
 
 /* Version of If-Match: "N"; returns false when it is malformed. */
 static bool
-read_if_match (const struct cfs_call *call, uint64_t *version)
+read_if_match (const struct cfs_http_request *call, uint64_t *version)
 {
-  const char *text = cfs_call_header (call, "If-Match");
+  const char *text = cfs_http_request_header (call, "If-Match");
   char *end;
 
   if (!text || text[0] != '"' || text[1] < '0' || text[1] > '9')
@@ -157,11 +157,11 @@
 }
 
 static void
-forward (struct cfs_entry *e, struct cfs_call *call,
+forward (struct cfs_entry *e, struct cfs_http_request *call,
          enum cfs_operator_kind kind, uint64_t version)
 {
-  const char *request_id = cfs_call_header (call, "Request-Id");
-  const char *who = cfs_call_header (call, "Operator");
+  const char *request_id = cfs_http_request_header (call, "Request-Id");
+  const char *who = cfs_http_request_header (call, "Operator");
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__OperatorCall m = CFS__OPERATOR_CALL__INIT;
   struct operator_call *row;
@@ -175,7 +175,7 @@
   m.id = row->id;
   m.kind = kind;
   m.base_version = version;
-  m.body = (char *)cfs_call_body (call);
+  m.body = (char *)cfs_http_request_body (call);
   m.who = (char *)(who ? who : "operator");
   m.request_id = (char *)(request_id ? request_id : own_id);
   out.body_case = CFS__PEER__BODY_CALL;
@@ -184,10 +184,10 @@
 }
 
 static void
-config_request (struct cfs_entry *e, struct cfs_call *call)
+config_request (struct cfs_entry *e, struct cfs_http_request *call)
 {
-  const char *method = cfs_call_method (call);
-  struct cfs_answer refused = { .status = HTTP_METHOD, .body = "{}" };
+  const char *method = cfs_http_request_method (call);
+  struct cfs_http_response refused = { .status = HTTP_METHOD, .body = "{}" };
   uint64_t version = 0;
   GError *error = NULL;
   cJSON *doc;
@@ -199,17 +199,17 @@
     }
   if (strcmp (method, "PATCH") != 0)
     {
-      cfs_call_answer (call, &refused);
+      cfs_http_respond (call, &refused);
       return;
     }
   if (!read_if_match (call, &version))
     {
       refused.status = HTTP_PRECONDITION_REQUIRED;
       refused.body = "{\"detail\":\"If-Match: \\\"N\\\" is required\"}";
-      cfs_call_answer (call, &refused);
+      cfs_http_respond (call, &refused);
       return;
     }
-  doc = cfs_json_parse (cfs_call_body (call), "patch", &error);
+  doc = cfs_json_parse (cfs_http_request_body (call), "patch", &error);
   if (doc)
     forward (e, call, OPERATOR_PATCH, version);
   else
@@ -219,7 +219,8 @@
 }
 
 void
-operate_request (struct cfs_entry *e, struct cfs_call *call, const char *what)
+operate_request (struct cfs_entry *e, struct cfs_http_request *call,
+                 const char *what)
 {
   if (strcmp (what, "announce") == 0)
     {
@@ -233,10 +234,10 @@
     config_request (e, call);
   else if (strcmp (what, "drain") == 0)
     {
-      struct cfs_answer ok = { .status = HTTP_OK, .body = "{}" };
+      struct cfs_http_response ok = { .status = HTTP_OK, .body = "{}" };
 
       e->setup.stop (e->setup.ctx);
-      cfs_call_answer (call, &ok);
+      cfs_http_respond (call, &ok);
     }
   else
     forward (e, call,
@@ -247,7 +248,7 @@
 void
 cfs_entry_called (struct cfs_entry *e, const Cfs__OperatorReply *in)
 {
-  struct cfs_answer a = { .status = in->status, .body = in->body };
+  struct cfs_http_response a = { .status = in->status, .body = in->body };
   char etag[32];
 
   g_snprintf (etag, sizeof etag, "\"%" PRIu64 "\"", in->version);
@@ -255,7 +256,7 @@
   for (size_t i = 0; i < e->call_count; i++)
     if (e->calls[i].id == in->id)
       {
-        cfs_call_answer (e->calls[i].call, &a);
+        cfs_http_respond (e->calls[i].call, &a);
         e->calls[i] = e->calls[--e->call_count];
         return;
       }
--- a/src/request/quota.c
+++ b/src/request/quota.c
@@ -62,7 +62,7 @@
 
 static void
 set_share (struct cfs_quota_row *r, const Cfs__TeamShare *in,
-           const struct cfs_member_team *team, int64_t now)
+           const struct cfs_team_limits *team, int64_t now)
 {
   refill (r, now);
   r->known = in && in->known;
--- a/src/request/statement.c
+++ b/src/request/statement.c
@@ -30,8 +30,8 @@
         END_ROW };
 
 static struct entry_job *
-new_job (struct cfs_entry *e, struct cfs_call *call, enum cfs_kind kind,
-         const char *group)
+new_job (struct cfs_entry *e, struct cfs_http_request *call,
+         enum cfs_kind kind, const char *group)
 {
   struct entry_job *j = cfs_alloc (sizeof *j);
 
@@ -108,7 +108,7 @@
 static int64_t
 read_body (struct entry_job *j, const struct cfs_field *fields)
 {
-  const char *text = cfs_call_body (j->call);
+  const char *text = cfs_http_request_body (j->call);
   GError *error = NULL;
   cJSON *doc = cfs_json_parse (*text ? text : "{}", "body", &error);
   int64_t deadline = 0;
@@ -157,8 +157,8 @@
 static bool
 read_repeat (struct entry_job *j)
 {
-  const char *key = cfs_call_header (j->call, "Idempotency-Key");
-  const char *repeatable = cfs_call_header (j->call, "Repeatable");
+  const char *key = cfs_http_request_header (j->call, "Idempotency-Key");
+  const char *repeatable = cfs_http_request_header (j->call, "Repeatable");
 
   if (repeatable && strcasecmp (repeatable, "no") == 0)
     j->request.once = true;
@@ -173,11 +173,11 @@
 static bool
 read_token (struct entry_job *j)
 {
-  const char *text = cfs_call_header (j->call, "Session");
+  const char *text = cfs_http_request_header (j->call, "Session");
   const struct cfs_token_entry *seen;
 
   if (!text)
-    text = cfs_call_cookie (j->call, "coltsfootstage-session");
+    text = cfs_http_request_cookie (j->call, "coltsfootstage-session");
   if (!text || !*text)
     return true;
   if (cfs_token_read (text, j->entry->token_key, &j->token) != CFS_OK)
@@ -217,7 +217,7 @@
 }
 
 static const struct cfs_team *
-authenticate (struct cfs_entry *e, struct cfs_call *call)
+authenticate (struct cfs_entry *e, struct cfs_http_request *call)
 {
   const char *key = entry_bearer (call);
 
@@ -225,7 +225,8 @@
 }
 
 static void
-sheet_request (struct cfs_entry *e, struct cfs_call *call, const char *name)
+sheet_request (struct cfs_entry *e, struct cfs_http_request *call,
+               const char *name)
 {
   const struct cfs_conf *conf = e->setup.directory->conf;
   const struct cfs_sheet *sheet = cfs_conf_sheet (conf, name);
@@ -279,8 +280,8 @@
 }
 
 static void
-group_request (struct cfs_entry *e, struct cfs_call *call, char **parts,
-               size_t count)
+group_request (struct cfs_entry *e, struct cfs_http_request *call,
+               char **parts, size_t count)
 {
   enum cfs_kind kind = kind_of (parts, count);
   const struct cfs_team *team = authenticate (e, call);
@@ -310,17 +311,17 @@
 }
 
 void
-statement_request (struct cfs_entry *e, struct cfs_call *call, char **parts,
-                   size_t count)
+statement_request (struct cfs_entry *e, struct cfs_http_request *call,
+                   char **parts, size_t count)
 {
   bool sheet = strcmp (parts[0], "sheets") == 0 && count == 2;
   const char *allowed = sheet ? "GET" : "POST";
 
-  if (strcmp (cfs_call_method (call), allowed) != 0)
+  if (strcmp (cfs_http_request_method (call), allowed) != 0)
     {
-      struct cfs_answer a = { .status = 405, .body = "{}" };
+      struct cfs_http_response a = { .status = 405, .body = "{}" };
 
-      cfs_call_answer (call, &a);
+      cfs_http_respond (call, &a);
       return;
     }
   if (!cfs_directory_leased (e->setup.directory, cfs_now ()))
--- a/src/version/catalog.c
+++ b/src/version/catalog.c
@@ -130,16 +130,16 @@
   return find (c->services, c->service_count, sizeof *c->services, name);
 }
 
-const struct cfs_member_team *
+const struct cfs_team_limits *
 cfs_catalog_team_of (const struct cfs_catalog *c, const char *key)
 {
-  const struct cfs_grant *g
+  const struct cfs_api_key *g
       = find (c->grants, c->grant_count, sizeof *c->grants, key);
 
   return g ? &c->teams[g->team] : NULL;
 }
 
-const struct cfs_member_team *
+const struct cfs_team_limits *
 cfs_catalog_team (const struct cfs_catalog *c, const char *name)
 {
   return find (c->teams, c->team_count, sizeof *c->teams, name);
--- a/src/version/catalog.h
+++ b/src/version/catalog.h
@@ -62,8 +62,8 @@
   uint32_t sync_replicas;
 };
 
-/** struct cfs_member_team - a team with its fleet-wide limits */
-struct cfs_member_team
+/** struct cfs_team_limits - a team with its fleet-wide limits */
+struct cfs_team_limits
 {
   char name[CFS_NAME_MAX];
   double rate;
@@ -71,8 +71,8 @@
   uint32_t priority;
 };
 
-/** struct cfs_grant - a caller's key; @team is a handle into the teams */
-struct cfs_grant
+/** struct cfs_api_key - a caller's key; @team is a handle into the teams */
+struct cfs_api_key
 {
   char key[CATALOG_NAME_MAX];
   uint32_t team;
@@ -88,10 +88,10 @@
   struct cfs_service *services;
   size_t service_count;
   size_t service_cap;
-  struct cfs_member_team *teams;
+  struct cfs_team_limits *teams;
   size_t team_count;
   size_t team_cap;
-  struct cfs_grant *grants;
+  struct cfs_api_key *grants;
   size_t grant_count;
   size_t grant_cap;
   int64_t transaction_idle_us;
@@ -121,11 +121,11 @@
 cfs_catalog_service (const struct cfs_catalog *catalog, const char *name);
 
 /** cfs_catalog_team_of() - the team that holds a key, or NULL */
-const struct cfs_member_team *
+const struct cfs_team_limits *
 cfs_catalog_team_of (const struct cfs_catalog *catalog, const char *key);
 
 /** cfs_catalog_team() - the team of that name, or NULL */
-const struct cfs_member_team *
+const struct cfs_team_limits *
 cfs_catalog_team (const struct cfs_catalog *catalog, const char *name);
 
 #endif
--- a/tests/unit/pool.c
+++ b/tests/unit/pool.c
@@ -24,8 +24,8 @@
 
 struct fake_wire
 {
-  struct cfs_wire base;
-  const struct cfs_wire_events *events;
+  struct cfs_target_conn base;
+  const struct cfs_target_conn_events *events;
   void *owner;
   int64_t due;
 };
@@ -35,10 +35,10 @@
   int64_t now;
   struct cfs_settings settings;
   struct cfs_fleet fleet;
-  struct cfs_target_edge edge;
+  struct cfs_target_adapter edge;
   struct cfs_pool *pool;
   struct fake_wire *wire;
-  struct cfs_link *link;
+  struct cfs_pooled_conn *link;
   enum cfs_reply_code code;
   unsigned attempts;
   bool served;
@@ -53,7 +53,8 @@
 }
 
 static void
-wire_send (struct cfs_wire *base, const struct cfs_statement *st, size_t n)
+wire_send (struct cfs_target_conn *base, const struct cfs_statement *st,
+           size_t n)
 {
   struct fake_wire *k = (struct fake_wire *)base;
 
@@ -63,18 +64,18 @@
 }
 
 static void
-wire_close (struct cfs_wire *base)
+wire_close (struct cfs_target_conn *base)
 {
   if (world.wire == (struct fake_wire *)base)
     world.wire = NULL;
   free (base);
 }
 
-static const struct cfs_wire_ops wire_ops = { wire_send, wire_close };
+static const struct cfs_target_conn_ops wire_ops = { wire_send, wire_close };
 
-static struct cfs_wire *
-wire_open (const struct cfs_target_edge *edge,
-           const struct cfs_wire_setup *setup)
+static struct cfs_target_conn *
+wire_open (const struct cfs_target_adapter *edge,
+           const struct cfs_target_conn_setup *setup)
 {
   struct fake_wire *k = cfs_alloc (sizeof *k);
 
@@ -98,7 +99,8 @@
     world.link = NULL;
 }
 
-static const struct cfs_link_events link_events = { on_opened, NULL, NULL };
+static const struct cfs_pooled_conn_events link_events
+    = { on_opened, NULL, NULL };
 
 static void
 step (void)
@@ -108,8 +110,8 @@
 
   world.now += STEP_US;
   if (!world.link)
-    world.link = cfs_pool_take (world.pool, "t1", "team", &link_events, &world,
-                                world.now, &opening);
+    world.link = cfs_pool_acquire (world.pool, "t1", "team", &link_events,
+                                   &world, world.now, &opening);
   if (world.wire && world.wire->due && world.now >= world.wire->due)
     {
       world.wire->due = 0;
--- a/tests/unit/shares_random.c
+++ b/tests/unit/shares_random.c
@@ -126,7 +126,7 @@
 static void
 beat (struct world *w, struct host *h)
 {
-  const struct cfs_member_team *t = &w->catalog->teams[0];
+  const struct cfs_team_limits *t = &w->catalog->teams[0];
   struct cfs_quota_row *r = cfs_table_add (&h->quota.rows, TEAM);
   double held = w->now < h->quota.until ? r->share : 0;
 
@@ -148,7 +148,7 @@
 static void
 ask (struct world *w, struct host *h)
 {
-  const struct cfs_member_team *t = &w->catalog->teams[0];
+  const struct cfs_team_limits *t = &w->catalog->teams[0];
   struct cfs_quota_row *r = cfs_table_add (&h->quota.rows, TEAM);
   uint32_t want = cfs_quota_wanted (r, w->now);
   struct answer *a;
@@ -292,7 +292,7 @@
 static bool
 windows_hold (const struct world *w, uint64_t seed)
 {
-  const struct cfs_member_team *t = &w->catalog->teams[0];
+  const struct cfs_team_limits *t = &w->catalog->teams[0];
 
   for (size_t i = 0; i < w->count; i++)
     for (size_t k = i; k < w->count; k++)
--- a/tests/world/sessions.c
+++ b/tests/world/sessions.c
@@ -31,11 +31,11 @@
 
 struct ws_wire
 {
-  struct cfs_wire base;
+  struct cfs_target_conn base;
   struct world_sessions *world;
   struct ws_wire *next;
   struct ws_instance *at;
-  const struct cfs_wire_events *events;
+  const struct cfs_target_conn_events *events;
   void *owner;
   char team[CFS_NAME_MAX];
   bool open;
@@ -352,7 +352,8 @@
 }
 
 static void
-wire_send (struct cfs_wire *base, const struct cfs_statement *st, size_t count)
+wire_send (struct cfs_target_conn *base, const struct cfs_statement *st,
+           size_t count)
 {
   struct ws_wire *k = (struct ws_wire *)base;
   struct world_sessions *w = k->world;
@@ -378,18 +379,18 @@
 }
 
 static void
-wire_close (struct cfs_wire *base)
+wire_close (struct cfs_target_conn *base)
 {
   struct ws_wire *k = (struct ws_wire *)base;
 
   k->dead = true;
 }
 
-static const struct cfs_wire_ops wire_ops = { wire_send, wire_close };
+static const struct cfs_target_conn_ops wire_ops = { wire_send, wire_close };
 
-static struct cfs_wire *
-open_wire (const struct cfs_target_edge *edge,
-           const struct cfs_wire_setup *setup)
+static struct cfs_target_conn *
+open_wire (const struct cfs_target_adapter *edge,
+           const struct cfs_target_conn_setup *setup)
 {
   struct world_sessions *w = the_world;
   struct ws_wire *k = cfs_alloc (sizeof *k);
@@ -657,7 +658,7 @@
     return;
   if (c->session && w->faults && draw (w, 400) == 0)
     {
-      cfs_session_gone (c->session);
+      cfs_session_close (c->session);
       caller_close (&c->base);
       c->id = 0;
       c->next_at = w->now + 20 * CFS_US_PER_MS;
@@ -857,7 +858,7 @@
   the_world = w;
   for (unsigned i = 0; i < WS_CALLERS; i++)
     if (w->callers[i].session)
-      cfs_session_gone (w->callers[i].session);
+      cfs_session_close (w->callers[i].session);
   cfs_sessions_free (w->sessions);
   cfs_pool_free (w->pool);
   sweep_wires (w);
--- a/tests/world/sessions.h
+++ b/tests/world/sessions.h
@@ -85,7 +85,7 @@
   struct cfs_settings settings;
   struct cfs_fleet fleet;
   struct cfs_quota quota;
-  struct cfs_target_edge edge;
+  struct cfs_target_adapter edge;
   struct cfs_pool *pool;
   struct cfs_sessions *sessions;
   struct ws_instance instances[WS_INSTANCES];
--- a/tests/world/succession.c
+++ b/tests/world/succession.c
@@ -35,11 +35,11 @@
 /* A connection of the leader to an instance. */
 struct fake_wire
 {
-  struct cfs_wire base;
+  struct cfs_target_conn base;
   struct fake_wire *next;
   struct instance *at;
   unsigned boot;
-  const struct cfs_wire_events *events;
+  const struct cfs_target_conn_events *events;
   void *owner;
   bool dead;
   bool open;
@@ -76,7 +76,7 @@
   uint64_t seed;
   bool faults;
   struct cfs_state state;
-  struct cfs_target_edge edge;
+  struct cfs_target_adapter edge;
   struct cfs_succession *succession;
   struct fake_wire *wires;
   struct instance instances[INSTANCES];
@@ -162,7 +162,8 @@
 }
 
 static void
-wire_send (struct cfs_wire *base, const struct cfs_statement *s, size_t count)
+wire_send (struct cfs_target_conn *base, const struct cfs_statement *s,
+           size_t count)
 {
   struct fake_wire *k = (struct fake_wire *)base;
 
@@ -175,7 +176,7 @@
 
 /* What was sent before the end still arrives. */
 static void
-wire_close (struct cfs_wire *base)
+wire_close (struct cfs_target_conn *base)
 {
   struct fake_wire *k = (struct fake_wire *)base;
 
@@ -184,11 +185,11 @@
   k->dead = true;
 }
 
-static const struct cfs_wire_ops wire_ops = { wire_send, wire_close };
+static const struct cfs_target_conn_ops wire_ops = { wire_send, wire_close };
 
-static struct cfs_wire *
-wire_open (const struct cfs_target_edge *edge,
-           const struct cfs_wire_setup *setup)
+static struct cfs_target_conn *
+wire_open (const struct cfs_target_adapter *edge,
+           const struct cfs_target_conn_setup *setup)
 {
   struct fake_wire *k = cfs_alloc (sizeof *k);
 
