--- a/src/version/catalog.c
+++ b/src/version/catalog.c
@@ -25,7 +25,7 @@
   free (c->routes);
   free (c->services);
   free (c->teams);
-  free (c->grants);
+  free (c->api_keys);
   free (c);
 }
 
@@ -94,8 +94,8 @@
 
   for (size_t i = 0; i < c->route_count; i++)
     c->routes[i].service = services[c->routes[i].service];
-  for (size_t i = 0; i < c->grant_count; i++)
-    c->grants[i].team = teams[c->grants[i].team];
+  for (size_t i = 0; i < c->api_key_count; i++)
+    c->api_keys[i].team = teams[c->api_keys[i].team];
   free (services);
   free (teams);
   if (!services_ok)
@@ -104,10 +104,10 @@
     return "two teams have the same name";
   if (!sort (c->routes, c->route_count, sizeof *c->routes))
     return "two routes have the same database";
-  sort (c->grants, c->grant_count, sizeof *c->grants);
-  for (size_t i = 1; i < c->grant_count; i++)
-    if (strcmp (c->grants[i - 1].key, c->grants[i].key) == 0
-        && c->grants[i - 1].team != c->grants[i].team)
+  sort (c->api_keys, c->api_key_count, sizeof *c->api_keys);
+  for (size_t i = 1; i < c->api_key_count; i++)
+    if (strcmp (c->api_keys[i - 1].key, c->api_keys[i].key) == 0
+        && c->api_keys[i - 1].team != c->api_keys[i].team)
       return "two teams share a key";
   return NULL;
 }
@@ -134,7 +134,7 @@
 cfs_catalog_team_of (const struct cfs_catalog *c, const char *key)
 {
   const struct cfs_api_key *g
-      = find (c->grants, c->grant_count, sizeof *c->grants, key);
+      = find (c->api_keys, c->api_key_count, sizeof *c->api_keys, key);
 
   return g ? &c->teams[g->team] : NULL;
 }
--- a/src/version/catalog.h
+++ b/src/version/catalog.h
@@ -91,9 +91,9 @@
   struct cfs_team_limits *teams;
   size_t team_count;
   size_t team_cap;
-  struct cfs_api_key *grants;
-  size_t grant_count;
-  size_t grant_cap;
+  struct cfs_api_key *api_keys;
+  size_t api_key_count;
+  size_t api_key_cap;
   int64_t transaction_idle_us;
 };
 
--- a/tests/world/sessions.c
+++ b/tests/world/sessions.c
@@ -762,11 +762,11 @@
       cfs_grow (&c->teams, &c->team_cap, i, sizeof *c->teams);
       snprintf (c->teams[i].name, CFS_NAME_MAX, "team%u", i);
       c->teams[i].rate = c->teams[i].burst = 100000;
-      cfs_grow (&c->grants, &c->grant_cap, i, sizeof *c->grants);
-      snprintf (c->grants[i].key, CATALOG_NAME_MAX, "key%u", i);
-      c->grants[i].team = i;
+      cfs_grow (&c->api_keys, &c->api_key_cap, i, sizeof *c->api_keys);
+      snprintf (c->api_keys[i].key, CATALOG_NAME_MAX, "key%u", i);
+      c->api_keys[i].team = i;
     }
-  c->team_count = c->grant_count = 2;
+  c->team_count = c->api_key_count = 2;
   c->transaction_idle_us = 10 * CFS_US_PER_S;
   cfs_catalog_seal (c);
   w->fleet.catalog = c;
