--- a/src/connection/pg.c
+++ b/src/connection/pg.c
@@ -127,7 +127,7 @@
 }
 
 void
-cfs_pg_attach (struct cfs_pg *pg, struct cfs_gate *gate)
+cfs_pg_set_gate (struct cfs_pg *pg, struct cfs_gate *gate)
 {
   pg->gate = gate;
 }
@@ -703,7 +703,7 @@
 }
 
 void
-cfs_pg_pump (struct cfs_pg *pg)
+cfs_pg_report_failures (struct cfs_pg *pg)
 {
   each_link (pg, pump_link, 0);
 }
--- a/src/connection/pg.h
+++ b/src/connection/pg.h
@@ -60,8 +60,8 @@
 /** cfs_pg_new() - no connections yet; freed by cfs_pg_free() */
 struct cfs_pg *cfs_pg_new (const struct cfs_pg_setup *setup);
 
-/** cfs_pg_attach() - names the gate that events go to */
-void cfs_pg_attach (struct cfs_pg *pg, struct cfs_gate *gate);
+/** cfs_pg_set_gate() - names the gate that events go to */
+void cfs_pg_set_gate (struct cfs_pg *pg, struct cfs_gate *gate);
 
 /** cfs_pg_free() - closes all connections without telling the gate */
 void cfs_pg_free (struct cfs_pg *pg);
@@ -85,7 +85,7 @@
 /** cfs_pg_tick() - ends attempts to connect that take too long */
 void cfs_pg_tick (struct cfs_pg *pg, int64_t now);
 
-/** cfs_pg_pump() - tells the gate of work that ended at once */
-void cfs_pg_pump (struct cfs_pg *pg);
+/** cfs_pg_report_failures() - tells the gate of work that ended at once */
+void cfs_pg_report_failures (struct cfs_pg *pg);
 
 #endif
--- a/src/connection/pool_int.h
+++ b/src/connection/pool_int.h
@@ -1,6 +1,6 @@
 /**
  * DOC: Private parts of the pool: what a host knows of an instance, shared by
- * pool.c and pool_site.c.
+ * pool.c and pool_target.c.
  */
 #ifndef CFS_POOL_INT_H
 #define CFS_POOL_INT_H
--- a/src/connection/session.c
+++ b/src/connection/session.c
@@ -70,7 +70,7 @@
   *code = REPLY_NO_DATABASE;
   if (!route)
     return false;
-  team = cfs_catalog_team_of (f->catalog, s->key);
+  team = cfs_catalog_team_by_key (f->catalog, s->key);
   *code = REPLY_NO_KEY;
   if (!team && !route->open)
     return false;
@@ -92,7 +92,7 @@
     return true;
   if (!cfs_fleet_leased (f, now))
     return false;
-  team = cfs_catalog_team_of (f->catalog, s->key);
+  team = cfs_catalog_team_by_key (f->catalog, s->key);
   return team && strcmp (team->name, s->team) == 0;
 }
 
--- a/src/connection/token.c
+++ b/src/connection/token.c
@@ -15,7 +15,7 @@
 #define VARIANT sodium_base64_VARIANT_URLSAFE_NO_PADDING
 
 void
-cfs_token_key (const char *secret, unsigned char *key)
+cfs_token_derive_key (const char *secret, unsigned char *key)
 {
   static const unsigned char context[] = "coltsfootstage session token";
 
--- a/src/connection/token.h
+++ b/src/connection/token.h
@@ -31,11 +31,11 @@
 };
 
 /**
- * cfs_token_key() - derives the key from the fleet's secret
+ * cfs_token_derive_key() - derives the key from the fleet's secret
  * @secret: terminated text
  * @key: TOKEN_KEY_BYTES bytes, written
  */
-void cfs_token_key (const char *secret, unsigned char *key);
+void cfs_token_derive_key (const char *secret, unsigned char *key);
 
 /**
  * cfs_token_write() - authenticated text of a token
--- a/src/request/entry.c
+++ b/src/request/entry.c
@@ -187,7 +187,7 @@
   e->sent = apr_hash_make (e->pool);
   cfs_admit_init (&e->admit, &admit_ops, e);
   cfs_table_init (&e->announced, sizeof (struct announce_row));
-  cfs_token_key (setup->settings->curve_secret, e->token_key);
+  cfs_token_derive_key (setup->settings->curve_secret, e->token_key);
   e->next_id = (uint64_t)randombytes_random () << 32;
   return e;
 }
--- a/src/request/gates.c
+++ b/src/request/gates.c
@@ -207,7 +207,7 @@
   row->owner = g;
   row->pg = cfs_pg_new (&pg);
   row->gate = cfs_gate_new (&gate_ops, row, name, &cfs_gate_defaults, seed);
-  cfs_pg_attach (row->pg, row->gate);
+  cfs_pg_set_gate (row->pg, row->gate);
   cfs_grow (&g->gates, &g->cap, g->count, sizeof *g->gates);
   g->gates[g->count++] = row;
   return row;
@@ -220,7 +220,7 @@
 
   if (g->setup.directory->conf)
     c = cfs_conf_group (g->setup.directory->conf, row->name);
-  cfs_gate_configure (row->gate, c ? c->size : CFS_GROUP_SIZE,
+  cfs_gate_configure (row->gate, c ? c->size : CFS_GROUP_SIZE_DEFAULT,
                       c && c->ack_primary);
 }
 
@@ -442,7 +442,7 @@
 {
   for (size_t i = 0; i < g->count; i++)
     {
-      cfs_pg_pump (g->gates[i]->pg);
+      cfs_pg_report_failures (g->gates[i]->pg);
       cfs_pg_tick (g->gates[i]->pg, now);
       cfs_gate_tick (g->gates[i]->gate, now);
       log_serving (g->gates[i], now);
--- a/src/version/catalog.c
+++ b/src/version/catalog.c
@@ -131,7 +131,7 @@
 }
 
 const struct cfs_team_limits *
-cfs_catalog_team_of (const struct cfs_catalog *c, const char *key)
+cfs_catalog_team_by_key (const struct cfs_catalog *c, const char *key)
 {
   const struct cfs_api_key *g
       = find (c->api_keys, c->api_key_count, sizeof *c->api_keys, key);
--- a/src/version/catalog.h
+++ b/src/version/catalog.h
@@ -120,9 +120,9 @@
 const struct cfs_service *
 cfs_catalog_service (const struct cfs_catalog *catalog, const char *name);
 
-/** cfs_catalog_team_of() - the team that holds a key, or NULL */
+/** cfs_catalog_team_by_key() - the team that holds a key, or NULL */
 const struct cfs_team_limits *
-cfs_catalog_team_of (const struct cfs_catalog *catalog, const char *key);
+cfs_catalog_team_by_key (const struct cfs_catalog *catalog, const char *key);
 
 /** cfs_catalog_team() - the team of that name, or NULL */
 const struct cfs_team_limits *
--- a/src/version/conf.c
+++ b/src/version/conf.c
@@ -182,7 +182,8 @@
     const char *ack = cfs_json_string (item, "ack", "majority");
 
     cfs_copy (g->name, sizeof g->name, item->string);
-    g->size = (unsigned)cfs_json_number (item, "instances", CFS_GROUP_SIZE);
+    g->size = (unsigned)cfs_json_number (item, "instances",
+                                         CFS_GROUP_SIZE_DEFAULT);
     g->ack_primary = strcmp (ack, "primary") == 0;
     if (!g->ack_primary && strcmp (ack, "majority") != 0)
       return fail (error, "groups", g->name, "ack is primary or majority");
--- a/src/version/conf.h
+++ b/src/version/conf.h
@@ -14,7 +14,7 @@
 
 #define CFS_HASH_BYTES 32
 /* Instances of a group that the configuration does not name. */
-#define CFS_GROUP_SIZE 3
+#define CFS_GROUP_SIZE_DEFAULT 3
 
 /** struct cfs_team - a tenant with its fleet-wide limits */
 struct cfs_team
--- a/tests/unit/decoders.c
+++ b/tests/unit/decoders.c
@@ -147,7 +147,7 @@
   char text[TOKEN_TEXT_MAX];
 
   (void)state;
-  cfs_token_key ("fleet secret", key);
+  cfs_token_derive_key ("fleet secret", key);
   assert_int_equal (cfs_token_advance (&t, "orders", 2, 40), CFS_OK);
   assert_int_equal (cfs_token_advance (&t, "orders", 2, 30), CFS_OK);
   assert_int_equal (cfs_token_advance (&t, "orders", 1, 90), CFS_OK);
@@ -165,7 +165,7 @@
       assert_int_equal (cfs_token_read (text, key, &back), CFS_BAD);
       text[i] = kept;
     }
-  cfs_token_key ("another secret", key);
+  cfs_token_derive_key ("another secret", key);
   assert_int_equal (cfs_token_read (text, key, &back), CFS_BAD);
 }
 
--- a/tests/unit/platform.c
+++ b/tests/unit/platform.c
@@ -63,9 +63,9 @@
   assert_int_equal (r->timeout_us, 1200000);
   assert_int_equal (r->max_age_us, 1500000);
   assert_string_equal (c->services[r->service].name, "db");
-  assert_string_equal (cfs_catalog_team_of (c, "k2")->name, "a");
-  assert_string_equal (cfs_catalog_team_of (c, "k3")->name, "b");
-  assert_null (cfs_catalog_team_of (c, "k4"));
+  assert_string_equal (cfs_catalog_team_by_key (c, "k2")->name, "a");
+  assert_string_equal (cfs_catalog_team_by_key (c, "k3")->name, "b");
+  assert_null (cfs_catalog_team_by_key (c, "k4"));
   assert_null (cfs_catalog_route (c, "other"));
   assert_int_equal (c->transaction_idle_us, 3000000);
   cfs_catalog_free (c);
