--- a/src/connection/session.c
+++ b/src/connection/session.c
@@ -15,9 +15,9 @@
 
 #define PART "session"
 /* A statement that no instance has yet is held for this part of its time. */
-#define HOLD_PERCENT 90
+#define QUEUE_TIMEOUT_PERCENT 90
 /* A caller waits at most this long for its session. */
-#define ADMIT_MAX_US (1600 * CFS_US_PER_MS)
+#define ADMISSION_TIMEOUT_US (1600 * CFS_US_PER_MS)
 
 int64_t
 session_now (const struct cfs_session *s)
@@ -31,7 +31,7 @@
   struct prepared *p = data;
 
   g_free (p->name);
-  g_free (p->shape);
+  g_free (p->query);
   g_free (p);
 }
 
@@ -55,7 +55,8 @@
 }
 
 bool
-session_allowed (struct cfs_session *s, int64_t now, enum cfs_reply_code *code)
+session_authorize (struct cfs_session *s, int64_t now,
+                   enum cfs_reply_code *code)
 {
   const struct cfs_fleet *f = s->owner->setup.fleet;
   const struct cfs_route *route;
@@ -83,7 +84,7 @@
 }
 
 bool
-session_key_holds (const struct cfs_session *s, int64_t now)
+session_key_valid (const struct cfs_session *s, int64_t now)
 {
   const struct cfs_fleet *f = s->owner->setup.fleet;
   const struct cfs_team_limits *team;
@@ -120,11 +121,11 @@
   s->caller = caller;
   s->database = cfs_strdup (database);
   s->key = cfs_strdup (key);
-  s->rested_at = cfs_pool_now (ss->setup.pool);
+  s->idle_since = cfs_pool_now (ss->setup.pool);
   if (ss->draining)
     *code = REPLY_BUSY;
   else
-    session_allowed (s, s->rested_at, code);
+    session_authorize (s, s->idle_since, code);
   if (*code != REPLY_OK && (*code != REPLY_BUSY || ss->draining))
     {
       log_refused (s, *code);
@@ -133,7 +134,7 @@
       free (s);
       return NULL;
     }
-  s->pending = *code != REPLY_OK;
+  s->awaiting_admission = *code != REPLY_OK;
   s->values = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
   s->prepared
       = g_hash_table_new_full (g_str_hash, g_str_equal, NULL, free_prepared);
@@ -146,17 +147,17 @@
 }
 
 void
-session_wait (struct cfs_session *s, bool waits)
+session_set_awaiting_token (struct cfs_session *s, bool awaiting_token)
 {
-  if (s->op.waits != waits)
-    cfs_quota_wait (s->owner->setup.quota, s->team, waits);
-  s->op.waits = waits;
+  if (s->op.awaiting_token != awaiting_token)
+    cfs_quota_wait (s->owner->setup.quota, s->team, awaiting_token);
+  s->op.awaiting_token = awaiting_token;
 }
 
 static void
 clear_op (struct cfs_session *s)
 {
-  session_wait (s, false);
+  session_set_awaiting_token (s, false);
   for (size_t i = 0; i < 3; i++)
     g_free (s->op.texts[i]);
   memset (&s->op, 0, sizeof s->op);
@@ -183,29 +184,29 @@
 }
 
 void
-session_abandon (struct cfs_session *s, int64_t now)
+session_rollback_conn (struct cfs_session *s, int64_t now)
 {
   struct cfs_statement end = { .verb = VERB_ROLLBACK };
-  struct cfs_pooled_conn *link = s->link;
+  struct cfs_pooled_conn *conn = s->conn;
 
-  s->link = NULL;
-  if (!link)
+  s->conn = NULL;
+  if (!conn)
     return;
-  if (cfs_pooled_conn_pending (link) > 0)
+  if (cfs_pooled_conn_pending (conn) > 0)
     {
-      cfs_pool_close_conn (link);
-      s->on_link = false;
+      cfs_pool_close_conn (conn);
+      s->tx_on_conn = false;
       return;
     }
-  if (s->on_link)
-    cfs_pooled_conn_send (link, &end, 1, now);
-  s->on_link = false;
-  cfs_pool_release (link, now);
+  if (s->tx_on_conn)
+    cfs_pooled_conn_send (conn, &end, 1, now);
+  s->tx_on_conn = false;
+  cfs_pool_release (conn, now);
 }
 
 /* Whether the effect of what the instance has in hand must not be cut off. */
 static bool
-keeps_effect (const struct cfs_session *s)
+write_in_flight (const struct cfs_session *s)
 {
   if (s->op.phase != OP_RUN)
     return false;
@@ -218,10 +219,10 @@
 {
   int64_t now = session_now (s);
 
-  if (s->link && keeps_effect (s))
-    cfs_pool_release (s->link, now);
+  if (s->conn && write_in_flight (s))
+    cfs_pool_release (s->conn, now);
   else
-    session_abandon (s, now);
+    session_rollback_conn (s, now);
   if (s->op.phase != OP_NONE)
     cfs_log (CFS_INFO, PART, "id=%s database=%s the caller left, phase=%s",
              s->op.statement.id, s->database,
@@ -236,13 +237,13 @@
 }
 
 const struct prepared *
-session_prepared (const struct cfs_session *s, const char *name)
+session_find_prepared (const struct cfs_session *s, const char *name)
 {
   return g_hash_table_lookup (s->prepared, name);
 }
 
 void
-session_answer (struct cfs_session *s, const struct cfs_reply *reply)
+session_forward_reply (struct cfs_session *s, const struct cfs_reply *reply)
 {
   int64_t now = session_now (s);
 
@@ -250,9 +251,9 @@
   if (reply->code == REPLY_OK && reply->proof)
     session_count_latency (s->owner, now - s->op.arrived);
   if (reply->code != REPLY_OK || reply->proof)
-    session_log_end (s, reply->code, now);
+    session_log_statement (s, reply->code, now);
   clear_op (s);
-  s->rested_at = now;
+  s->idle_since = now;
   s->caller->ops->reply (s->caller, reply);
 }
 
@@ -262,39 +263,39 @@
 {
   struct cfs_reply r = { .code = code, .text = text, .state = s->state };
 
-  session_answer (s, &r);
+  session_forward_reply (s, &r);
 }
 
 static void
-take_set (struct cfs_session *s, const struct cfs_statement *st)
+handle_set (struct cfs_session *s, const struct cfs_statement *st)
 {
   g_hash_table_replace (s->values, g_strdup (st->name), g_strdup (st->arg));
   session_reply (s, REPLY_OK, NULL);
 }
 
 static void
-take_prepare (struct cfs_session *s, const struct cfs_statement *st)
+handle_prepare (struct cfs_session *s, const struct cfs_statement *st)
 {
   struct prepared *p = g_new0 (struct prepared, 1);
 
   p->name = g_strdup (st->name);
-  p->shape = g_strdup (st->arg);
+  p->query = g_strdup (st->arg);
   p->writes = st->writes;
   g_hash_table_replace (s->prepared, p->name, p);
   session_reply (s, REPLY_OK, NULL);
 }
 
 static void
-take_rollback (struct cfs_session *s, int64_t now)
+handle_rollback (struct cfs_session *s, int64_t now)
 {
-  session_abandon (s, now);
+  session_rollback_conn (s, now);
   s->state = TX_IDLE;
   session_reply (s, REPLY_OK, NULL);
 }
 
 /* A commit of what is lost already: nothing of it is kept. */
 static void
-take_late_commit (struct cfs_session *s)
+handle_commit_of_failed (struct cfs_session *s)
 {
   s->state = TX_IDLE;
   session_reply (s, REPLY_ABORTED, "the transaction was rolled back");
@@ -304,48 +305,48 @@
 start_op (struct cfs_session *s, enum op_phase phase, int64_t now)
 {
   s->op.phase = phase;
-  s->op.hold_until = now + s->route.timeout_us * HOLD_PERCENT / 100;
+  s->op.reject_at = now + s->route.timeout_us * QUEUE_TIMEOUT_PERCENT / 100;
   s->op.deadline = now + s->route.timeout_us;
   session_run (s, now);
 }
 
 static void
-take_begin (struct cfs_session *s, int64_t now)
+handle_begin (struct cfs_session *s, int64_t now)
 {
   enum cfs_reply_code code;
 
-  if (!session_allowed (s, now, &code))
+  if (!session_authorize (s, now, &code))
     {
       session_reply (s, code, "the session may not go on");
       return;
     }
-  s->read_only = s->op.statement.verb == VERB_BEGIN_READ;
-  s->wrote = false;
-  s->answered = false;
+  s->tx_read_only = s->op.statement.verb == VERB_BEGIN_READ;
+  s->tx_wrote = false;
+  s->tx_answered = false;
   if (*s->team)
     cfs_quota_ask (s->owner->setup.quota, s->team, now);
   start_op (s, OP_TOKEN, now);
 }
 
 static void
-take_inside (struct cfs_session *s, int64_t now)
+run_in_tx (struct cfs_session *s, int64_t now)
 {
-  if (!session_key_holds (s, now))
+  if (!session_key_valid (s, now))
     {
-      session_abandon (s, now);
+      session_rollback_conn (s, now);
       s->state = TX_FAILED;
       session_reply (s, REPLY_ABORTED, "the key no longer holds");
       return;
     }
-  start_op (s, s->on_link ? OP_LINK : OP_POSITION, now);
+  start_op (s, s->tx_on_conn ? OP_CONN : OP_POSITION, now);
 }
 
 static void
-take_single (struct cfs_session *s, int64_t now)
+run_single (struct cfs_session *s, int64_t now)
 {
   enum cfs_reply_code code;
 
-  if (!session_allowed (s, now, &code))
+  if (!session_authorize (s, now, &code))
     {
       session_reply (s, code, "the session may not go on");
       return;
@@ -357,13 +358,13 @@
 
 /* Reads, writes and commits. */
 static void
-take_work (struct cfs_session *s, int64_t now)
+handle_data_statement (struct cfs_session *s, int64_t now)
 {
   struct cfs_statement *st = &s->op.statement;
 
   if (st->verb == VERB_EXECUTE)
     {
-      const struct prepared *p = session_prepared (s, st->name);
+      const struct prepared *p = session_find_prepared (s, st->name);
 
       if (!p)
         {
@@ -375,9 +376,9 @@
   else
     s->op.writes = st->verb == VERB_WRITE;
   if (s->state == TX_OPEN)
-    take_inside (s, now);
+    run_in_tx (s, now);
   else
-    take_single (s, now);
+    run_single (s, now);
 }
 
 static void
@@ -399,7 +400,7 @@
 
 /* Whether a statement fits the state of the transaction. */
 static bool
-fits_state (const struct cfs_session *s, enum cfs_verb verb)
+allowed_in_state (const struct cfs_session *s, enum cfs_verb verb)
 {
   switch (verb)
     {
@@ -420,7 +421,7 @@
   int64_t now = session_now (s);
 
   copy_statement (s, st, now);
-  if (!fits_state (s, st->verb))
+  if (!allowed_in_state (s, st->verb))
     {
       session_reply (s, REPLY_MALFORMED, "not allowed in this state");
       return;
@@ -428,32 +429,32 @@
   switch (st->verb)
     {
     case VERB_SET:
-      take_set (s, st);
+      handle_set (s, st);
       break;
     case VERB_PREPARE:
-      take_prepare (s, st);
+      handle_prepare (s, st);
       break;
     case VERB_DEALLOCATE:
       g_hash_table_remove (s->prepared, st->name);
       session_reply (s, REPLY_OK, NULL);
       break;
     case VERB_ROLLBACK:
-      take_rollback (s, now);
+      handle_rollback (s, now);
       break;
     case VERB_BEGIN:
     case VERB_BEGIN_READ:
-      take_begin (s, now);
+      handle_begin (s, now);
       break;
     case VERB_COMMIT:
       if (s->state == TX_FAILED)
-        take_late_commit (s);
+        handle_commit_of_failed (s);
       else
-        take_work (s, now);
+        handle_data_statement (s, now);
       break;
     case VERB_READ:
     case VERB_WRITE:
     case VERB_EXECUTE:
-      take_work (s, now);
+      handle_data_statement (s, now);
       break;
     default:
       session_reply (s, REPLY_MALFORMED, "not a statement of callers");
@@ -463,31 +464,31 @@
 
 /* A transaction whose caller says nothing is given up. */
 static void
-check_rest (struct cfs_session *s, int64_t now)
+check_idle_tx (struct cfs_session *s, int64_t now)
 {
   const struct cfs_catalog *c = s->owner->setup.fleet->catalog;
 
-  if (s->state != TX_OPEN || !s->link || s->op.phase != OP_NONE || !c
-      || now - s->rested_at < c->transaction_idle_us)
+  if (s->state != TX_OPEN || !s->conn || s->op.phase != OP_NONE || !c
+      || now - s->idle_since < c->transaction_idle_us)
     return;
   cfs_log (CFS_NOTICE, PART, "database=%s team=%s idle transaction ended",
            s->database, s->team);
-  session_abandon (s, now);
+  session_rollback_conn (s, now);
   s->state = TX_FAILED;
 }
 
 /* Admits a session once this host knows enough, or refuses it. */
 static void
-check_pending (struct cfs_session *s, int64_t now)
+check_admission (struct cfs_session *s, int64_t now)
 {
   struct cfs_caller *caller = s->caller;
   enum cfs_reply_code code;
 
-  session_allowed (s, now, &code);
-  if (code == REPLY_BUSY && now - s->rested_at < ADMIT_MAX_US
+  session_authorize (s, now, &code);
+  if (code == REPLY_BUSY && now - s->idle_since < ADMISSION_TIMEOUT_US
       && !s->owner->draining)
     return;
-  s->pending = false;
+  s->awaiting_admission = false;
   if (code != REPLY_OK)
     {
       log_refused (s, code);
@@ -505,17 +506,17 @@
   for (struct cfs_session *s = ss->first; s; s = next)
     {
       next = s->next;
-      if (s->pending)
-        check_pending (s, now);
+      if (s->awaiting_admission)
+        check_admission (s, now);
       else if (s->op.phase != OP_NONE)
-        session_check (s, now);
+        session_check_timeouts (s, now);
       else
-        check_rest (s, now);
+        check_idle_tx (s, now);
     }
 }
 
 void
-cfs_sessions_drain (struct cfs_sessions *ss, int64_t rest_us, bool abandon,
+cfs_sessions_drain (struct cfs_sessions *ss, int64_t idle_us, bool abandon,
                     int64_t now)
 {
   struct cfs_session *next;
@@ -525,10 +526,11 @@
       struct cfs_caller *caller = s->caller;
 
       next = s->next;
-      if (s->pending || s->op.phase != OP_NONE || now - s->rested_at < rest_us
+      if (s->awaiting_admission || s->op.phase != OP_NONE
+          || now - s->idle_since < idle_us
           || (s->state != TX_IDLE && !abandon))
         continue;
-      session_abandon (s, now);
+      session_rollback_conn (s, now);
       free_session (s);
       caller->ops->close (caller);
     }
--- a/src/connection/session.h
+++ b/src/connection/session.h
@@ -43,7 +43,7 @@
  * @rest_us: time without a statement that counts as rest
  * @abandon: also gives up transactions that are open
  */
-void cfs_sessions_drain (struct cfs_sessions *sessions, int64_t rest_us,
+void cfs_sessions_drain (struct cfs_sessions *sessions, int64_t idle_us,
                          bool abandon, int64_t now);
 
 /** cfs_sessions_stop_accepting() - takes no new sessions from here on */
--- a/src/connection/session_int.h
+++ b/src/connection/session_int.h
@@ -1,6 +1,6 @@
 /**
  * DOC: Private parts of sessions, shared by session.c, session_run.c,
- * session_setup.c and session_stats.c.
+ * session_build_setup.c and session_stats.c.
  */
 #ifndef CFS_SESSION_INT_H
 #define CFS_SESSION_INT_H
@@ -26,7 +26,7 @@
   OP_NONE,
   OP_TOKEN,
   OP_POSITION,
-  OP_LINK,
+  OP_CONN,
   OP_OPENING,
   OP_SETUP,
   OP_RUN
@@ -38,11 +38,11 @@
  * @deadline: when it is given up
  * @retry_at: not before this time
  * @setup_due: replies due before the statement itself is sent
- * @waits: counted as waiting for a token
- * @opens: the last of them opens a transaction
+ * @awaiting_token: counted as waiting for a token
+ * @begins_tx: the last of them opens a transaction
  * @opened_at: when the link was asked to open, or the setup was sent
  * @target: the instance that was asked last
- * @need: position that the instance's log must hold
+ * @min_position: position that the instance's log must hold
  */
 struct op
 {
@@ -50,28 +50,28 @@
   struct cfs_statement statement;
   char *texts[3];
   int64_t arrived;
-  int64_t hold_until;
+  int64_t reject_at;
   int64_t deadline;
   int64_t retry_at;
   int64_t sent_at;
   unsigned attempts;
-  unsigned setup_due;
-  bool opens;
+  unsigned setup_pending;
+  bool begins_tx;
   bool writes;
-  bool waits;
+  bool awaiting_token;
   int64_t opened_at;
-  struct cfs_position need;
+  struct cfs_position min_position;
   char tried[TRIED_MAX][CFS_NAME_MAX];
   size_t tried_count;
   char target[CFS_NAME_MAX];
-  enum cfs_reply_code last;
+  enum cfs_reply_code last_code;
 };
 
 /** struct prepared - a name that the caller prepared */
 struct prepared
 {
   char *name;
-  char *shape;
+  char *query;
   bool writes;
 };
 
@@ -86,18 +86,18 @@
   char *key;
   GHashTable *values;
   GHashTable *prepared;
-  struct cfs_position own;
+  struct cfs_position own_commit;
   struct cfs_route route;
   char service[CFS_NAME_MAX];
   char team[CFS_NAME_MAX];
   enum cfs_tx_state state;
-  bool pending;
-  bool read_only;
-  bool on_link;
-  bool wrote;
-  bool answered;
-  int64_t rested_at;
-  struct cfs_pooled_conn *link;
+  bool awaiting_admission;
+  bool tx_read_only;
+  bool tx_on_conn;
+  bool tx_wrote;
+  bool tx_answered;
+  int64_t idle_since;
+  struct cfs_pooled_conn *conn;
   struct op op;
 };
 
@@ -127,31 +127,33 @@
 /* Bound of statements that prepare a link. */
 #define SETUP_MAX 64
 /* Room for the name of a prepared shape. */
-#define SHAPE_NAME_BYTES 24
+#define PREPARED_NAME_BYTES 24
 
-/** struct setup - statements that bring a link into the session's state */
-struct setup
+/** struct conn_setup - statements that bring a link into the session's state
+ */
+struct conn_setup
 {
-  struct cfs_statement rows[SETUP_MAX];
+  struct cfs_statement statements[SETUP_MAX];
   size_t count;
-  char shape[SHAPE_NAME_BYTES];
+  char query[PREPARED_NAME_BYTES];
 };
 
-/** session_setup() - what a link needs before the statement in hand */
-void session_setup (struct cfs_session *session, struct setup *setup);
+/** session_build_setup() - what a link needs before the statement in hand */
+void session_build_setup (struct cfs_session *session,
+                          struct conn_setup *setup);
 
-/** session_shape_name() - name under which links know a shape
- * @out: SHAPE_NAME_BYTES bytes, written
+/** session_prepared_name() - name under which links know a shape
+ * @out: PREPARED_NAME_BYTES bytes, written
  */
-void session_shape_name (const struct prepared *prepared, char *out);
+void session_prepared_name (const struct prepared *prepared, char *out);
 
-/** session_wants_primary() - whether only the primary can run the statement
+/** session_needs_primary() - whether only the primary can run the statement
  */
-bool session_wants_primary (const struct cfs_session *session);
+bool session_needs_primary (const struct cfs_session *session);
 
-/** session_wraps() - whether the statement runs inside a transaction that we
- * open for it */
-bool session_wraps (const struct cfs_session *session);
+/** session_needs_own_tx() - whether the statement runs inside a transaction
+ * that we open for it */
+bool session_needs_own_tx (const struct cfs_session *session);
 
 /** session_phase_name() - stable name for logs */
 const char *session_phase_name (enum op_phase phase);
@@ -159,9 +161,9 @@
 /** session_count_latency() - counts a statement that an instance ran */
 void session_count_latency (struct cfs_sessions *sessions, int64_t took_us);
 
-/** session_log_end() - the line at the end of a statement */
-void session_log_end (const struct cfs_session *session,
-                      enum cfs_reply_code code, int64_t now);
+/** session_log_statement() - the line at the end of a statement */
+void session_log_statement (const struct cfs_session *session,
+                            enum cfs_reply_code code, int64_t now);
 
 /** session_now() - the time at events */
 int64_t session_now (const struct cfs_session *session);
@@ -169,8 +171,8 @@
 /** session_run() - goes on with the statement in hand */
 void session_run (struct cfs_session *session, int64_t now);
 
-/** session_check() - gives up what has waited too long */
-void session_check (struct cfs_session *session, int64_t now);
+/** session_check_timeouts() - gives up what has waited too long */
+void session_check_timeouts (struct cfs_session *session, int64_t now);
 
 /**
  * session_reply() - answers the statement in hand; nothing of it is left
@@ -180,26 +182,29 @@
 void session_reply (struct cfs_session *session, enum cfs_reply_code code,
                     const char *text);
 
-/** session_answer() - the same with an instance's reply */
-void session_answer (struct cfs_session *session,
-                     const struct cfs_reply *reply);
+/** session_forward_reply() - the same with an instance's reply */
+void session_forward_reply (struct cfs_session *session,
+                            const struct cfs_reply *reply);
 
-/** session_abandon() - gives the link up; what is open on it rolls back */
-void session_abandon (struct cfs_session *session, int64_t now);
+/** session_rollback_conn() - gives the link up; what is open on it rolls back
+ */
+void session_rollback_conn (struct cfs_session *session, int64_t now);
 
-/** session_wait() - the statement in hand waits for a token, or no longer */
-void session_wait (struct cfs_session *session, bool waits);
+/** session_set_awaiting_token() - the statement in hand waits for a token, or
+ * no longer */
+void session_set_awaiting_token (struct cfs_session *session,
+                                 bool awaiting_token);
 
-/** session_allowed() - whether route and key hold; else why not */
-bool session_allowed (struct cfs_session *session, int64_t now,
-                      enum cfs_reply_code *code);
+/** session_authorize() - whether route and key hold; else why not */
+bool session_authorize (struct cfs_session *session, int64_t now,
+                        enum cfs_reply_code *code);
 
-/** session_key_holds() - whether the key still stands for the same team, by a
+/** session_key_valid() - whether the key still stands for the same team, by a
  * configuration that may be acted on */
-bool session_key_holds (const struct cfs_session *session, int64_t now);
+bool session_key_valid (const struct cfs_session *session, int64_t now);
 
-/** session_prepared() - what a name stands for, or NULL */
-const struct prepared *session_prepared (const struct cfs_session *session,
-                                         const char *name);
+/** session_find_prepared() - what a name stands for, or NULL */
+const struct prepared *
+session_find_prepared (const struct cfs_session *session, const char *name);
 
 #endif
--- a/src/connection/session_run.c
+++ b/src/connection/session_run.c
@@ -19,14 +19,14 @@
 
 #define PART "run"
 /* Pauses before a statement is tried again. */
-#define NO_TARGET_PAUSE_US (10 * CFS_US_PER_MS)
-#define TOKEN_PAUSE_US (5 * CFS_US_PER_MS)
-#define BUSY_PAUSE_US (15 * CFS_US_PER_MS)
+#define NO_TARGET_RETRY_US (10 * CFS_US_PER_MS)
+#define TOKEN_RETRY_US (5 * CFS_US_PER_MS)
+#define BUSY_RETRY_US (15 * CFS_US_PER_MS)
 /* A read goes elsewhere when a connection is not up by then. */
-#define OPEN_PATIENCE_US (350 * CFS_US_PER_MS)
-#define REFUSAL_BYTES 96
+#define READ_OPEN_TIMEOUT_US (350 * CFS_US_PER_MS)
+#define REJECT_TEXT_BYTES 96
 /* Told to callers whose statement was not run. */
-#define RETRY_HINT_MS 200
+#define RETRY_AFTER_MS 200
 
 /* The transaction of the caller cannot go on; nothing of it is kept. */
 static void
@@ -34,46 +34,46 @@
 {
   bool commit = s->op.statement.verb == VERB_COMMIT;
 
-  session_abandon (s, now);
+  session_rollback_conn (s, now);
   s->state = commit ? TX_IDLE : TX_FAILED;
   session_reply (s, REPLY_ABORTED, text);
 }
 
 /* No instance has the statement: it has certainly not run. */
 static void
-refuse (struct cfs_session *s, int64_t now)
+reject_not_run (struct cfs_session *s, int64_t now)
 {
-  char text[REFUSAL_BYTES];
+  char text[REJECT_TEXT_BYTES];
 
   g_snprintf (text, sizeof text, "not run (%s), retry in %d ms",
               s->op.phase == OP_TOKEN ? "over the team's rate"
-                                      : cfs_reply_name (s->op.last),
-              RETRY_HINT_MS);
+                                      : cfs_reply_name (s->op.last_code),
+              RETRY_AFTER_MS);
   if (s->state == TX_OPEN)
     fail_transaction (s, text, now);
   else
     {
-      session_abandon (s, now);
+      session_rollback_conn (s, now);
       session_reply (s, REPLY_BUSY, text);
     }
 }
 
 /* The instance does not answer in time, or the link broke. */
 static void
-give_up (struct cfs_session *s, enum cfs_reply_code code, const char *text,
-         int64_t now)
+fail_statement (struct cfs_session *s, enum cfs_reply_code code,
+                const char *text, int64_t now)
 {
   bool commit = s->op.statement.verb == VERB_COMMIT;
 
-  if (s->link && code == REPLY_TIMEOUT)
+  if (s->conn && code == REPLY_TIMEOUT)
     cfs_pool_note_stuck (s->owner->setup.pool,
-                         cfs_pooled_conn_target (s->link), true, now);
-  if (s->state == TX_OPEN && !(commit && s->wrote))
+                         cfs_pooled_conn_target (s->conn), true, now);
+  if (s->state == TX_OPEN && !(commit && s->tx_wrote))
     {
       fail_transaction (s, text, now);
       return;
     }
-  session_abandon (s, now);
+  session_rollback_conn (s, now);
   s->state = TX_IDLE;
   if (commit || s->op.writes)
     code = REPLY_UNKNOWN;
@@ -84,48 +84,49 @@
 static void
 send_statement (struct cfs_session *s, int64_t now)
 {
-  struct cfs_statement rows[2];
-  char shape[SHAPE_NAME_BYTES];
+  struct cfs_statement statements[2];
+  char query[PREPARED_NAME_BYTES];
   size_t count = 1;
 
-  rows[0] = s->op.statement;
-  if (rows[0].verb == VERB_EXECUTE)
+  statements[0] = s->op.statement;
+  if (statements[0].verb == VERB_EXECUTE)
     {
-      session_shape_name (session_prepared (s, rows[0].name), shape);
-      rows[0].name = shape;
+      session_prepared_name (session_find_prepared (s, statements[0].name),
+                             query);
+      statements[0].name = query;
     }
-  if (s->state == TX_IDLE && !s->op.writes && !session_wraps (s))
-    rows[0].after = s->op.need;
-  if (session_wraps (s))
+  if (s->state == TX_IDLE && !s->op.writes && !session_needs_own_tx (s))
+    statements[0].after = s->op.min_position;
+  if (session_needs_own_tx (s))
     {
-      memset (&rows[1], 0, sizeof rows[1]);
-      rows[1].verb = VERB_ROLLBACK;
+      memset (&statements[1], 0, sizeof statements[1]);
+      statements[1].verb = VERB_ROLLBACK;
       count = 2;
     }
   s->op.phase = OP_RUN;
   s->op.sent_at = now;
   if (s->op.writes)
-    s->wrote = true;
-  cfs_pooled_conn_send (s->link, rows, count, now);
+    s->tx_wrote = true;
+  cfs_pooled_conn_send (s->conn, statements, count, now);
 }
 
 static void
-use_link (struct cfs_session *s)
+prepare_conn (struct cfs_session *s)
 {
-  struct setup u = { .count = 0 };
+  struct conn_setup u = { .count = 0 };
   int64_t now = session_now (s);
 
-  if (!session_key_holds (s, now))
+  if (!session_key_valid (s, now))
     {
-      refuse (s, now);
+      reject_not_run (s, now);
       return;
     }
-  s->op.opens = false;
-  session_setup (s, &u);
+  s->op.begins_tx = false;
+  session_build_setup (s, &u);
   if (u.count == SETUP_MAX)
     {
-      cfs_pool_close_conn (s->link);
-      s->link = NULL;
+      cfs_pool_close_conn (s->conn);
+      s->conn = NULL;
       session_reply (s, REPLY_FAILED, "too many values");
       return;
     }
@@ -135,9 +136,9 @@
       return;
     }
   s->op.phase = OP_SETUP;
-  s->op.setup_due = (unsigned)u.count;
+  s->op.setup_pending = (unsigned)u.count;
   s->op.opened_at = now;
-  cfs_pooled_conn_send (s->link, u.rows, u.count, now);
+  cfs_pooled_conn_send (s->conn, u.statements, u.count, now);
 }
 
 static void
@@ -154,9 +155,9 @@
   struct cfs_pool *pool = s->owner->setup.pool;
   const struct cfs_target *t;
 
-  if (session_wants_primary (s))
+  if (session_needs_primary (s))
     return cfs_pool_primary (pool, s->service, now);
-  t = cfs_pool_choose (pool, s->service, &s->op.need,
+  t = cfs_pool_choose (pool, s->service, &s->op.min_position,
                        (const char (*)[CFS_NAME_MAX])s->op.tried,
                        s->op.tried_count, now);
   if (!t)
@@ -164,36 +165,36 @@
   return t;
 }
 
-static const struct cfs_pooled_conn_events link_events;
+static const struct cfs_pooled_conn_events conn_events;
 
 static void
-run_link (struct cfs_session *s, int64_t now)
+acquire_conn (struct cfs_session *s, int64_t now)
 {
   const struct cfs_target *t;
   bool opening;
 
-  if (s->on_link)
+  if (s->tx_on_conn)
     {
       cfs_copy (s->op.target, sizeof s->op.target,
-                cfs_pooled_conn_target (s->link));
-      use_link (s);
+                cfs_pooled_conn_target (s->conn));
+      prepare_conn (s);
       return;
     }
   t = choose_target (s, now);
   if (!t)
     {
-      s->op.retry_at = now + NO_TARGET_PAUSE_US;
+      s->op.retry_at = now + NO_TARGET_RETRY_US;
       s->op.phase = OP_POSITION;
       return;
     }
-  s->link = cfs_pool_acquire (s->owner->setup.pool, t->id, s->team,
-                              &link_events, s, now, &opening);
-  if (!s->link)
+  s->conn = cfs_pool_acquire (s->owner->setup.pool, t->id, s->team,
+                              &conn_events, s, now, &opening);
+  if (!s->conn)
     {
       add_tried (&s->op, t->id);
-      s->op.last = REPLY_NO_CONNECTION;
+      s->op.last_code = REPLY_NO_CONNECTION;
       s->op.retry_at
-          = now + (session_wants_primary (s) ? NO_TARGET_PAUSE_US : 0);
+          = now + (session_needs_primary (s) ? NO_TARGET_RETRY_US : 0);
       s->op.phase = OP_POSITION;
       return;
     }
@@ -203,31 +204,32 @@
   if (opening)
     s->op.phase = OP_OPENING;
   else
-    use_link (s);
+    prepare_conn (s);
 }
 
 static bool
-run_position (struct cfs_session *s, int64_t now)
+determine_position (struct cfs_session *s, int64_t now)
 {
   struct op *op = &s->op;
 
-  memset (&op->need, 0, sizeof op->need);
-  if (session_wants_primary (s))
+  memset (&op->min_position, 0, sizeof op->min_position);
+  if (session_needs_primary (s))
     return true;
   if (!cfs_samples_min_position (s->owner->samples, s->service,
-                                 s->route.max_age_us, s->team, now, &op->need))
+                                 s->route.max_age_us, s->team, now,
+                                 &op->min_position))
     {
-      op->last = REPLY_BEHIND;
+      op->last_code = REPLY_BEHIND;
       return false;
     }
   if (s->route.consistency == CONSISTENCY_OWN
-      && cfs_position_compare (&s->own, &op->need) > 0)
-    op->need = s->own;
+      && cfs_position_compare (&s->own_commit, &op->min_position) > 0)
+    op->min_position = s->own_commit;
   return true;
 }
 
 static void
-run_token (struct cfs_session *s, int64_t now)
+acquire_token (struct cfs_session *s, int64_t now)
 {
   int64_t wait = 0;
 
@@ -236,14 +238,14 @@
       if (cfs_quota_denied (s->owner->setup.quota, s->team, s->op.arrived,
                             now))
         {
-          refuse (s, now);
+          reject_not_run (s, now);
           return;
         }
-      session_wait (s, true);
-      s->op.retry_at = now + (wait < TOKEN_PAUSE_US ? wait : TOKEN_PAUSE_US);
+      session_set_awaiting_token (s, true);
+      s->op.retry_at = now + (wait < TOKEN_RETRY_US ? wait : TOKEN_RETRY_US);
       return;
     }
-  session_wait (s, false);
+  session_set_awaiting_token (s, false);
   if (s->op.statement.verb != VERB_BEGIN
       && s->op.statement.verb != VERB_BEGIN_READ)
     {
@@ -265,60 +267,60 @@
     {
       before = s->op.phase;
       if (before == OP_TOKEN)
-        run_token (s, now);
-      else if (before == OP_POSITION && run_position (s, now))
+        acquire_token (s, now);
+      else if (before == OP_POSITION && determine_position (s, now))
         {
-          s->op.phase = OP_LINK;
-          run_link (s, now);
+          s->op.phase = OP_CONN;
+          acquire_conn (s, now);
         }
-      else if (before == OP_LINK)
-        run_link (s, now);
+      else if (before == OP_CONN)
+        acquire_conn (s, now);
     }
   while (before == OP_TOKEN && s->op.phase == OP_POSITION);
 }
 
 static void
-start_over (struct cfs_session *s, enum cfs_reply_code why, int64_t pause_us,
-            int64_t now)
+retry (struct cfs_session *s, enum cfs_reply_code why, int64_t pause_us,
+       int64_t now)
 {
   struct op *op = &s->op;
 
-  if (s->link)
-    add_tried (op, cfs_pooled_conn_target (s->link));
-  session_abandon (s, now);
+  if (s->conn)
+    add_tried (op, cfs_pooled_conn_target (s->conn));
+  session_rollback_conn (s, now);
   s->owner->stats.retries++;
-  op->last = why;
+  op->last_code = why;
   op->phase = OP_POSITION;
   op->retry_at = now + pause_us;
   cfs_log (CFS_INFO, PART,
            "id=%s database=%s starts over after code=%s "
            "attempts=%u",
            op->statement.id, s->database, cfs_reply_name (why), op->attempts);
-  if (now >= op->hold_until)
-    refuse (s, now);
+  if (now >= op->reject_at)
+    reject_not_run (s, now);
   else
     session_run (s, now);
 }
 
 void
-session_check (struct cfs_session *s, int64_t now)
+session_check_timeouts (struct cfs_session *s, int64_t now)
 {
   struct op *op = &s->op;
 
   if (op->phase == OP_RUN)
     {
       if (now >= op->deadline)
-        give_up (s, REPLY_TIMEOUT, "no answer in time", now);
+        fail_statement (s, REPLY_TIMEOUT, "no answer in time", now);
       return;
     }
-  if (now >= op->hold_until)
-    refuse (s, now);
-  else if (op->phase == OP_OPENING && !session_wants_primary (s)
-           && now - op->opened_at > OPEN_PATIENCE_US)
+  if (now >= op->reject_at)
+    reject_not_run (s, now);
+  else if (op->phase == OP_OPENING && !session_needs_primary (s)
+           && now - op->opened_at > READ_OPEN_TIMEOUT_US)
     {
       cfs_pool_note_slow (s->owner->setup.pool,
-                          cfs_pooled_conn_target (s->link), now);
-      start_over (s, REPLY_NO_CONNECTION, 0, now);
+                          cfs_pooled_conn_target (s->conn), now);
+      retry (s, REPLY_NO_CONNECTION, 0, now);
     }
   else
     session_run (s, now);
@@ -331,116 +333,116 @@
 
   if (r->code == REPLY_OK)
     {
-      use_link (s);
+      prepare_conn (s);
       return;
     }
   add_tried (&s->op, s->op.target);
-  s->link = NULL;
-  start_over (s, r->code, BUSY_PAUSE_US, session_now (s));
+  s->conn = NULL;
+  retry (s, r->code, BUSY_RETRY_US, session_now (s));
 }
 
 static void
-note_refusal (struct cfs_session *s, enum cfs_reply_code code, int64_t now)
+report_refusal (struct cfs_session *s, enum cfs_reply_code code, int64_t now)
 {
   struct cfs_pool *pool = s->owner->setup.pool;
-  const char *target = cfs_pooled_conn_target (s->link);
+  const char *target = cfs_pooled_conn_target (s->conn);
 
   if (code == REPLY_NOT_PRIMARY)
     cfs_pool_note_not_primary (pool, target, now);
   else if (code == REPLY_BEHIND)
-    cfs_pool_note_behind (pool, target, &s->op.need, now);
+    cfs_pool_note_behind (pool, target, &s->op.min_position, now);
   else if (code == REPLY_BUSY)
     cfs_pool_note_overload (pool, target, now);
 }
 
 static void
-take_setup_reply (struct cfs_session *s, const struct cfs_reply *r)
+handle_setup_reply (struct cfs_session *s, const struct cfs_reply *r)
 {
   int64_t now = session_now (s);
   struct op *op = &s->op;
 
-  op->setup_due--;
+  op->setup_pending--;
   if (r->code != REPLY_OK)
     {
-      note_refusal (s, r->code, now);
-      if (op->setup_due > 0 || !op->opens || r->state != TX_IDLE)
+      report_refusal (s, r->code, now);
+      if (op->setup_pending > 0 || !op->begins_tx || r->state != TX_IDLE)
         {
-          add_tried (op, cfs_pooled_conn_target (s->link));
-          cfs_pool_close_conn (s->link);
-          s->link = NULL;
-          s->on_link = false;
+          add_tried (op, cfs_pooled_conn_target (s->conn));
+          cfs_pool_close_conn (s->conn);
+          s->conn = NULL;
+          s->tx_on_conn = false;
         }
-      if (s->state == TX_OPEN && s->answered)
+      if (s->state == TX_OPEN && s->tx_answered)
         fail_transaction (s, "the transaction was lost", now);
       else
-        start_over (s, r->code, 0, now);
+        retry (s, r->code, 0, now);
       return;
     }
-  if (op->setup_due > 0)
+  if (op->setup_pending > 0)
     return;
-  if (op->opens)
+  if (op->begins_tx)
     {
-      s->on_link = true;
-      if (session_wants_primary (s))
+      s->tx_on_conn = true;
+      if (session_needs_primary (s))
         cfs_samples_add (s->owner->samples, s->service, &r->position,
                          op->opened_at);
     }
-  if (!session_key_holds (s, now))
-    refuse (s, now);
+  if (!session_key_valid (s, now))
+    reject_not_run (s, now);
   else
     send_statement (s, now);
 }
 
 static void
-release_link (struct cfs_session *s, int64_t now)
+release_conn (struct cfs_session *s, int64_t now)
 {
-  struct cfs_pooled_conn *link = s->link;
+  struct cfs_pooled_conn *conn = s->conn;
 
-  s->link = NULL;
-  s->on_link = false;
-  cfs_pool_release (link, now);
+  s->conn = NULL;
+  s->tx_on_conn = false;
+  cfs_pool_release (conn, now);
 }
 
 static void
-note_own (struct cfs_session *s, const struct cfs_position *p)
+record_commit (struct cfs_session *s, const struct cfs_position *p)
 {
-  if (cfs_position_compare (p, &s->own) > 0)
-    s->own = *p;
+  if (cfs_position_compare (p, &s->own_commit) > 0)
+    s->own_commit = *p;
   cfs_samples_add (s->owner->samples, s->service, p, s->op.sent_at);
 }
 
 static void
-take_success (struct cfs_session *s, const struct cfs_reply *r, int64_t now)
+handle_success (struct cfs_session *s, const struct cfs_reply *r, int64_t now)
 {
   struct cfs_reply out = *r;
   bool commit = s->op.statement.verb == VERB_COMMIT;
 
   if (!r->proof)
     {
-      give_up (s, REPLY_FAILED, "the instance gave no proof", now);
+      fail_statement (s, REPLY_FAILED, "the instance gave no proof", now);
       return;
     }
-  cfs_pooled_conn_record_latency (s->link, now - s->op.sent_at);
-  if ((s->state == TX_IDLE && s->op.writes) || (commit && s->wrote))
+  cfs_pooled_conn_record_latency (s->conn, now - s->op.sent_at);
+  if ((s->state == TX_IDLE && s->op.writes) || (commit && s->tx_wrote))
     {
-      note_own (s, &r->position);
+      record_commit (s, &r->position);
       cfs_pool_note_stuck (s->owner->setup.pool,
-                           cfs_pooled_conn_target (s->link), false, now);
+                           cfs_pooled_conn_target (s->conn), false, now);
     }
-  s->answered = true;
+  s->tx_answered = true;
   if (s->state == TX_IDLE || commit)
     {
       s->state = TX_IDLE;
       out.state = TX_IDLE;
-      release_link (s, now);
+      release_conn (s, now);
     }
   else
     out.state = TX_OPEN;
-  session_answer (s, &out);
+  session_forward_reply (s, &out);
 }
 
 static bool
-is_not_run (enum cfs_reply_code code)
+means_not_run (enum cfs_reply_code code)
 {
   return code == REPLY_BUSY || code == REPLY_BEHIND
          || code == REPLY_NOT_PRIMARY || code == REPLY_WRONG_TARGET
@@ -449,27 +451,27 @@
 
 /* An error inside the caller's transaction. */
 static void
-take_inner_error (struct cfs_session *s, const struct cfs_reply *r,
-                  int64_t now)
+handle_tx_error (struct cfs_session *s, const struct cfs_reply *r, int64_t now)
 {
   bool commit = s->op.statement.verb == VERB_COMMIT;
 
-  if (commit && s->wrote && !is_not_run (r->code) && r->code != REPLY_ABORTED)
+  if (commit && s->tx_wrote && !means_not_run (r->code)
+      && r->code != REPLY_ABORTED)
     {
-      give_up (s, REPLY_UNKNOWN, "the commit has no clear answer", now);
+      fail_statement (s, REPLY_UNKNOWN, "the commit has no clear answer", now);
       return;
     }
   if (r->code == REPLY_BUSY && r->state == TX_OPEN
-      && now + BUSY_PAUSE_US < s->op.hold_until)
+      && now + BUSY_RETRY_US < s->op.reject_at)
     {
-      s->op.phase = OP_LINK;
-      s->op.retry_at = now + BUSY_PAUSE_US;
+      s->op.phase = OP_CONN;
+      s->op.retry_at = now + BUSY_RETRY_US;
       return;
     }
-  if (is_not_run (r->code) && !s->answered)
+  if (means_not_run (r->code) && !s->tx_answered)
     {
-      s->wrote = false;
-      start_over (s, r->code, 0, now);
+      s->tx_wrote = false;
+      retry (s, r->code, 0, now);
       return;
     }
   fail_transaction (s, "the transaction was rolled back", now);
@@ -478,32 +480,32 @@
 /* An error of a statement outside the caller's transactions.  What we sent
    behind it ends our own transaction, so the link can go back at once. */
 static void
-take_single_error (struct cfs_session *s, const struct cfs_reply *r,
-                   int64_t now)
+handle_single_error (struct cfs_session *s, const struct cfs_reply *r,
+                     int64_t now)
 {
-  add_tried (&s->op, cfs_pooled_conn_target (s->link));
-  release_link (s, now);
-  if (is_not_run (r->code))
-    start_over (s, r->code, r->code == REPLY_BUSY ? BUSY_PAUSE_US : 0, now);
+  add_tried (&s->op, cfs_pooled_conn_target (s->conn));
+  release_conn (s, now);
+  if (means_not_run (r->code))
+    retry (s, r->code, r->code == REPLY_BUSY ? BUSY_RETRY_US : 0, now);
   else if (!s->op.writes && s->op.attempts < s->route.max_attempts
-           && now < s->op.hold_until)
-    start_over (s, r->code, 0, now);
+           && now < s->op.reject_at)
+    retry (s, r->code, 0, now);
   else
     {
       struct cfs_reply out = { .code = r->code, .text = r->text };
 
-      session_answer (s, &out);
+      session_forward_reply (s, &out);
     }
 }
 
 static void
-take_error (struct cfs_session *s, const struct cfs_reply *r, int64_t now)
+handle_error (struct cfs_session *s, const struct cfs_reply *r, int64_t now)
 {
-  note_refusal (s, r->code, now);
+  report_refusal (s, r->code, now);
   if (s->state == TX_OPEN)
-    take_inner_error (s, r, now);
+    handle_tx_error (s, r, now);
   else
-    take_single_error (s, r, now);
+    handle_single_error (s, r, now);
 }
 
 static void
@@ -513,19 +515,19 @@
   int64_t now = session_now (s);
 
   if (s->op.phase == OP_SETUP)
-    take_setup_reply (s, r);
+    handle_setup_reply (s, r);
   else if (s->op.phase != OP_RUN)
     {
       cfs_log (CFS_WARNING, PART, "target=%s an answer without a question",
-               cfs_pooled_conn_target (s->link));
-      cfs_pool_close_conn (s->link);
-      s->link = NULL;
-      s->on_link = false;
+               cfs_pooled_conn_target (s->conn));
+      cfs_pool_close_conn (s->conn);
+      s->conn = NULL;
+      s->tx_on_conn = false;
     }
   else if (r->code == REPLY_OK)
-    take_success (s, r, now);
+    handle_success (s, r, now);
   else
-    take_error (s, r, now);
+    handle_error (s, r, now);
 }
 
 static void
@@ -533,20 +535,20 @@
 {
   struct cfs_session *s = holder;
   int64_t now = session_now (s);
-  bool ran = s->op.phase == OP_RUN;
+  bool sent = s->op.phase == OP_RUN;
 
   add_tried (&s->op, s->op.target);
-  s->link = NULL;
-  s->on_link = false;
+  s->conn = NULL;
+  s->tx_on_conn = false;
   if (s->op.phase == OP_NONE)
     s->state = TX_FAILED;
-  else if (s->state == TX_OPEN && (s->answered || s->wrote))
-    give_up (s, REPLY_UNKNOWN, reason, now);
-  else if (!ran || (!s->op.writes && s->op.attempts < s->route.max_attempts))
-    start_over (s, REPLY_UNKNOWN, 0, now);
+  else if (s->state == TX_OPEN && (s->tx_answered || s->tx_wrote))
+    fail_statement (s, REPLY_UNKNOWN, reason, now);
+  else if (!sent || (!s->op.writes && s->op.attempts < s->route.max_attempts))
+    retry (s, REPLY_UNKNOWN, 0, now);
   else
-    give_up (s, REPLY_FAILED, reason, now);
+    fail_statement (s, REPLY_FAILED, reason, now);
 }
 
-static const struct cfs_pooled_conn_events link_events
+static const struct cfs_pooled_conn_events conn_events
     = { on_opened, on_replied, on_lost };
--- a/src/connection/session_setup.c
+++ b/src/connection/session_setup.c
@@ -9,60 +9,60 @@
 #include <string.h>
 
 bool
-session_wants_primary (const struct cfs_session *s)
+session_needs_primary (const struct cfs_session *s)
 {
   if (s->op.writes || s->route.consistency == CONSISTENCY_LATEST)
     return true;
-  return s->state == TX_OPEN && !s->read_only;
+  return s->state == TX_OPEN && !s->tx_read_only;
 }
 
 /* Whether the statement runs inside a transaction that we open for it. */
 bool
-session_wraps (const struct cfs_session *s)
+session_needs_own_tx (const struct cfs_session *s)
 {
   return s->state == TX_IDLE && !s->op.writes
          && s->route.consistency == CONSISTENCY_LATEST;
 }
 
 void
-session_shape_name (const struct prepared *p, char *out)
+session_prepared_name (const struct prepared *p, char *out)
 {
-  uint64_t hash = cfs_hash (p->shape, strlen (p->shape), p->writes ? 2 : 1);
+  uint64_t hash = cfs_hash (p->query, strlen (p->query), p->writes ? 2 : 1);
 
-  g_snprintf (out, SHAPE_NAME_BYTES, "p%016" PRIx64, hash);
+  g_snprintf (out, PREPARED_NAME_BYTES, "p%016" PRIx64, hash);
 }
 
 static void
-add_row (struct setup *u, const struct cfs_statement *row)
+add_statement (struct conn_setup *u, const struct cfs_statement *statement)
 {
   if (u->count < SETUP_MAX)
-    u->rows[u->count++] = *row;
+    u->statements[u->count++] = *statement;
 }
 
 /* A link that carries a value which the session does not have starts anew. */
 static void
-setup_reset (struct cfs_session *s, struct setup *u)
+add_reset (struct cfs_session *s, struct conn_setup *u)
 {
   struct cfs_statement reset = { .verb = VERB_RESET };
-  GHashTable *on_link = cfs_pooled_conn_values (s->link);
+  GHashTable *conn_values = cfs_pooled_conn_values (s->conn);
   GHashTableIter i;
   void *name;
 
-  g_hash_table_iter_init (&i, on_link);
+  g_hash_table_iter_init (&i, conn_values);
   while (g_hash_table_iter_next (&i, &name, NULL))
     if (!g_hash_table_contains (s->values, name))
       {
-        add_row (u, &reset);
-        g_hash_table_remove_all (on_link);
-        g_hash_table_remove_all (cfs_pooled_conn_prepared (s->link));
+        add_statement (u, &reset);
+        g_hash_table_remove_all (conn_values);
+        g_hash_table_remove_all (cfs_pooled_conn_prepared (s->conn));
         return;
       }
 }
 
 static void
-setup_values (struct cfs_session *s, struct setup *u)
+add_values (struct cfs_session *s, struct conn_setup *u)
 {
-  GHashTable *on_link = cfs_pooled_conn_values (s->link);
+  GHashTable *conn_values = cfs_pooled_conn_values (s->conn);
   GHashTableIter i;
   void *name;
   void *value;
@@ -70,59 +70,59 @@
   g_hash_table_iter_init (&i, s->values);
   while (g_hash_table_iter_next (&i, &name, &value))
     {
-      const char *held = g_hash_table_lookup (on_link, name);
+      const char *current = g_hash_table_lookup (conn_values, name);
       struct cfs_statement set
           = { .verb = VERB_SET, .name = name, .arg = value };
 
-      if (held && strcmp (held, value) == 0)
+      if (current && strcmp (current, value) == 0)
         continue;
-      add_row (u, &set);
-      g_hash_table_replace (on_link, g_strdup (name), g_strdup (value));
+      add_statement (u, &set);
+      g_hash_table_replace (conn_values, g_strdup (name), g_strdup (value));
     }
 }
 
 static void
-setup_shape (struct cfs_session *s, struct setup *u)
+add_prepare (struct cfs_session *s, struct conn_setup *u)
 {
-  GHashTable *on_link = cfs_pooled_conn_prepared (s->link);
+  GHashTable *conn_prepared = cfs_pooled_conn_prepared (s->conn);
   const struct prepared *p;
   struct cfs_statement prepare = { .verb = VERB_PREPARE };
 
   if (s->op.statement.verb != VERB_EXECUTE)
     return;
-  p = session_prepared (s, s->op.statement.name);
-  session_shape_name (p, u->shape);
-  if (g_hash_table_contains (on_link, u->shape))
+  p = session_find_prepared (s, s->op.statement.name);
+  session_prepared_name (p, u->query);
+  if (g_hash_table_contains (conn_prepared, u->query))
     return;
-  prepare.name = u->shape;
-  prepare.arg = p->shape;
+  prepare.name = u->query;
+  prepare.arg = p->query;
   prepare.writes = p->writes;
-  add_row (u, &prepare);
-  g_hash_table_add (on_link, g_strdup (u->shape));
+  add_statement (u, &prepare);
+  g_hash_table_add (conn_prepared, g_strdup (u->query));
 }
 
 static void
-setup_begin (struct cfs_session *s, struct setup *u)
+add_begin (struct cfs_session *s, struct conn_setup *u)
 {
   struct cfs_statement begin = { .verb = VERB_BEGIN };
 
-  if (s->on_link || (s->state != TX_OPEN && !session_wraps (s)))
+  if (s->tx_on_conn || (s->state != TX_OPEN && !session_needs_own_tx (s)))
     return;
-  if (!session_wants_primary (s))
+  if (!session_needs_primary (s))
     {
       begin.verb = VERB_BEGIN_READ;
-      begin.after = s->op.need;
+      begin.after = s->op.min_position;
     }
-  add_row (u, &begin);
-  s->op.opens = true;
+  add_statement (u, &begin);
+  s->op.begins_tx = true;
 }
 
 void
-session_setup (struct cfs_session *s, struct setup *u)
+session_build_setup (struct cfs_session *s, struct conn_setup *u)
 {
-  if (!s->on_link)
-    setup_reset (s, u);
-  setup_values (s, u);
-  setup_shape (s, u);
-  setup_begin (s, u);
+  if (!s->tx_on_conn)
+    add_reset (s, u);
+  add_values (s, u);
+  add_prepare (s, u);
+  add_begin (s, u);
 }
--- a/src/connection/session_stats.c
+++ b/src/connection/session_stats.c
@@ -37,8 +37,8 @@
 }
 
 void
-session_log_end (const struct cfs_session *s, enum cfs_reply_code code,
-                 int64_t now)
+session_log_statement (const struct cfs_session *s, enum cfs_reply_code code,
+                       int64_t now)
 {
   const struct op *op = &s->op;
   const struct cfs_fleet *f = s->owner->setup.fleet;
@@ -50,8 +50,8 @@
            op->statement.id, s->database, s->team,
            cfs_verb_name (op->statement.verb), state_names[s->state],
            cfs_reply_name (code), *op->target ? op->target : "-",
-           op->need.term, op->need.number, op->attempts,
-           phase_names[op->phase], cfs_reply_name (op->last),
+           op->min_position.term, op->min_position.number, op->attempts,
+           phase_names[op->phase], cfs_reply_name (op->last_code),
            f->catalog ? f->catalog->version : 0, cfs_fleet_leased (f, now),
            (now - op->arrived) / CFS_US_PER_MS);
 }
