--- a/src/connection/http.c
+++ b/src/connection/http.c
@@ -27,9 +27,9 @@
   size_t len;
   size_t cap;
   bool too_large;
-  bool handed_out;
+  bool dispatched;
   bool suspended;
-  bool ended;
+  bool aborted;
   struct MHD_Response *response;
   unsigned status;
 };
@@ -39,69 +39,69 @@
   struct cfs_http_setup setup;
   struct MHD_Daemon *daemon;
   int watch;
-  size_t open;
-  bool closing;
+  size_t open_requests;
+  bool quiesced;
 };
 
 static void
-free_call (struct cfs_http_request *c)
+free_request (struct cfs_http_request *req)
 {
-  c->http->open--;
-  if (c->response)
-    MHD_destroy_response (c->response);
-  free (c->method);
-  free (c->path);
-  free (c->body);
-  free (c);
+  req->http->open_requests--;
+  if (req->response)
+    MHD_destroy_response (req->response);
+  free (req->method);
+  free (req->path);
+  free (req->body);
+  free (req);
 }
 
 static void
-completed (void *ctx, struct MHD_Connection *connection, void **slot,
-           enum MHD_RequestTerminationCode code)
+on_completed (void *ctx, struct MHD_Connection *connection,
+              void **request_slot, enum MHD_RequestTerminationCode code)
 {
-  struct cfs_http_request *c = *slot;
+  struct cfs_http_request *req = *request_slot;
 
   (void)ctx;
   (void)connection;
   (void)code;
-  *slot = NULL;
-  if (!c)
+  *request_slot = NULL;
+  if (!req)
     return;
-  if (c->handed_out && !c->response)
+  if (req->dispatched && !req->response)
     {
-      c->ended = true;
-      c->connection = NULL;
+      req->aborted = true;
+      req->connection = NULL;
       return;
     }
-  free_call (c);
+  free_request (req);
 }
 
 static void
-take_body (struct cfs_http_request *c, const char *data, size_t len)
+append_body (struct cfs_http_request *req, const char *data, size_t len)
 {
-  if (c->too_large || c->len + len > c->http->setup.max_body_bytes)
+  if (req->too_large || req->len + len > req->http->setup.max_body_bytes)
     {
-      c->too_large = true;
+      req->too_large = true;
       return;
     }
-  if (c->len + len + 1 > c->cap)
+  if (req->len + len + 1 > req->cap)
     {
-      size_t cap = (c->len + len + 1) * 2;
+      size_t cap = (req->len + len + 1) * 2;
       char *grown = cfs_alloc (cap);
 
-      if (c->len)
-        memcpy (grown, c->body, c->len);
-      free (c->body);
-      c->body = grown;
-      c->cap = cap;
+      if (req->len)
+        memcpy (grown, req->body, req->len);
+      free (req->body);
+      req->body = grown;
+      req->cap = cap;
     }
-  memcpy (c->body + c->len, data, len);
-  c->len += len;
-  c->body[c->len] = '\0';
+  memcpy (req->body + req->len, data, len);
+  req->len += len;
+  req->body[req->len] = '\0';
 }
 
 static enum MHD_Result
-refuse_large (struct cfs_http_request *c)
+reject_too_large (struct cfs_http_request *req)
 {
   static const char text[]
       = "{\"code\":\"bad_request\",\"outcome\":\"not_run\",\"detail\":\"the "
@@ -111,54 +111,54 @@
   enum MHD_Result result;
 
   MHD_add_response_header (r, "Content-Type", "application/problem+json");
-  result = MHD_queue_response (c->connection, HTTP_TOO_LARGE, r);
+  result = MHD_queue_response (req->connection, HTTP_TOO_LARGE, r);
   MHD_destroy_response (r);
   return result;
 }
 
 static enum MHD_Result
-handle (void *ctx, struct MHD_Connection *connection, const char *url,
-        const char *method, const char *version, const char *data, size_t *len,
-        void **slot)
+handle_request (void *ctx, struct MHD_Connection *connection, const char *url,
+                const char *method, const char *version, const char *data,
+                size_t *len, void **request_slot)
 {
   struct cfs_http *h = ctx;
-  struct cfs_http_request *c = *slot;
+  struct cfs_http_request *req = *request_slot;
 
   (void)version;
-  if (!c)
+  if (!req)
     {
-      c = cfs_alloc (sizeof *c);
-      c->http = h;
-      c->connection = connection;
-      c->method = cfs_strdup (method);
-      c->path = cfs_strdup (url);
-      h->open++;
-      *slot = c;
+      req = cfs_alloc (sizeof *req);
+      req->http = h;
+      req->connection = connection;
+      req->method = cfs_strdup (method);
+      req->path = cfs_strdup (url);
+      h->open_requests++;
+      *request_slot = req;
       return MHD_YES;
     }
   if (*len > 0)
     {
-      take_body (c, data, *len);
+      append_body (req, data, *len);
       *len = 0;
       return MHD_YES;
     }
-  if (c->too_large)
-    return refuse_large (c);
-  if (c->response)
-    return MHD_queue_response (connection, c->status, c->response);
-  if (c->handed_out)
+  if (req->too_large)
+    return reject_too_large (req);
+  if (req->response)
+    return MHD_queue_response (connection, req->status, req->response);
+  if (req->dispatched)
     return MHD_YES;
-  c->handed_out = true;
-  h->setup.request (h->setup.ctx, c);
-  if (c->response)
-    return MHD_queue_response (connection, c->status, c->response);
-  c->suspended = true;
+  req->dispatched = true;
+  h->setup.request (h->setup.ctx, req);
+  if (req->response)
+    return MHD_queue_response (connection, req->status, req->response);
+  req->suspended = true;
   MHD_suspend_connection (connection);
   return MHD_YES;
 }
 
 static void
-ready (void *ctx, int events)
+on_ready (void *ctx, int events)
 {
   struct cfs_http *h = ctx;
 
@@ -186,12 +186,13 @@
   if (inet_pton (AF_INET, s->address, &addr.sin_addr) != 1)
     return NULL;
   return MHD_start_daemon (
-      flags, (uint16_t)s->port, NULL, NULL, handle, h, MHD_OPTION_SOCK_ADDR,
-      (struct sockaddr *)&addr, MHD_OPTION_CONNECTION_MEMORY_LIMIT,
-      (size_t)CONNECTION_MEMORY, MHD_OPTION_CONNECTION_TIMEOUT,
-      (unsigned)CONNECTION_TIMEOUT_S, MHD_OPTION_CONNECTION_LIMIT,
-      (unsigned)CONNECTIONS_MAX, MHD_OPTION_NOTIFY_COMPLETED, completed, h,
-      MHD_OPTION_ARRAY, tls, MHD_OPTION_END);
+      flags, (uint16_t)s->port, NULL, NULL, handle_request, h,
+      MHD_OPTION_SOCK_ADDR, (struct sockaddr *)&addr,
+      MHD_OPTION_CONNECTION_MEMORY_LIMIT, (size_t)CONNECTION_MEMORY,
+      MHD_OPTION_CONNECTION_TIMEOUT, (unsigned)CONNECTION_TIMEOUT_S,
+      MHD_OPTION_CONNECTION_LIMIT, (unsigned)CONNECTIONS_MAX,
+      MHD_OPTION_NOTIFY_COMPLETED, on_completed, h, MHD_OPTION_ARRAY, tls,
+      MHD_OPTION_END);
 }
 
 struct cfs_http *
@@ -210,7 +211,8 @@
       return NULL;
     }
   info = MHD_get_daemon_info (h->daemon, MHD_DAEMON_INFO_EPOLL_FD);
-  h->watch = cfs_loop_add (setup->loop, info->epoll_fd, LOOP_READ, ready, h);
+  h->watch
+      = cfs_loop_add (setup->loop, info->epoll_fd, LOOP_READ, on_ready, h);
   return h;
 }
 
@@ -233,58 +235,58 @@
 void
 cfs_http_quiesce (struct cfs_http *h)
 {
-  if (!h->closing)
+  if (!h->quiesced)
     MHD_quiesce_daemon (h->daemon);
-  h->closing = true;
+  h->quiesced = true;
 }
 
 size_t
 cfs_http_open_requests (const struct cfs_http *h)
 {
-  return h->open;
+  return h->open_requests;
 }
 
 const char *
-cfs_http_request_method (const struct cfs_http_request *c)
+cfs_http_request_method (const struct cfs_http_request *req)
 {
-  return c->method;
+  return req->method;
 }
 
 const char *
-cfs_http_request_path (const struct cfs_http_request *c)
+cfs_http_request_path (const struct cfs_http_request *req)
 {
-  return c->path;
+  return req->path;
 }
 
 static const char *
-lookup (const struct cfs_http_request *c, enum MHD_ValueKind kind,
+lookup (const struct cfs_http_request *req, enum MHD_ValueKind kind,
         const char *name)
 {
-  if (!c->connection)
+  if (!req->connection)
     return NULL;
-  return MHD_lookup_connection_value (c->connection, kind, name);
+  return MHD_lookup_connection_value (req->connection, kind, name);
 }
 
 const char *
-cfs_http_request_header (const struct cfs_http_request *c, const char *name)
+cfs_http_request_header (const struct cfs_http_request *req, const char *name)
 {
-  return lookup (c, MHD_HEADER_KIND, name);
+  return lookup (req, MHD_HEADER_KIND, name);
 }
 
 const char *
-cfs_http_request_cookie (const struct cfs_http_request *c, const char *name)
+cfs_http_request_cookie (const struct cfs_http_request *req, const char *name)
 {
-  return lookup (c, MHD_COOKIE_KIND, name);
+  return lookup (req, MHD_COOKIE_KIND, name);
 }
 
 const char *
-cfs_http_request_body (const struct cfs_http_request *c)
+cfs_http_request_body (const struct cfs_http_request *req)
 {
-  return c->body ? c->body : "";
+  return req->body ? req->body : "";
 }
 
 static void
-add_session (struct MHD_Response *r, const char *session)
+add_session_headers (struct MHD_Response *r, const char *session)
 {
   char *cookie
       = g_strdup_printf (COOKIE_NAME "=%s; Path=/; HttpOnly", session);
@@ -295,32 +297,32 @@
 }
 
 void
-cfs_http_respond (struct cfs_http_request *c,
+cfs_http_respond (struct cfs_http_request *req,
                   const struct cfs_http_response *a)
 {
   const char *body = a->body ? a->body : "";
   char number[16];
 
-  c->status = a->status;
-  c->response = MHD_create_response_from_buffer (strlen (body), (void *)body,
-                                                 MHD_RESPMEM_MUST_COPY);
-  MHD_add_response_header (c->response, "Content-Type",
+  req->status = a->status;
+  req->response = MHD_create_response_from_buffer (strlen (body), (void *)body,
+                                                   MHD_RESPMEM_MUST_COPY);
+  MHD_add_response_header (req->response, "Content-Type",
                            a->type ? a->type : "application/json");
   if (a->session && *a->session)
-    add_session (c->response, a->session);
+    add_session_headers (req->response, a->session);
   if (a->etag)
-    MHD_add_response_header (c->response, "ETag", a->etag);
+    MHD_add_response_header (req->response, "ETag", a->etag);
   if (a->location)
-    MHD_add_response_header (c->response, "Location", a->location);
+    MHD_add_response_header (req->response, "Location", a->location);
   if (a->retry_after)
     {
       g_snprintf (number, sizeof number, "%u", a->retry_after);
-      MHD_add_response_header (c->response, "Retry-After", number);
+      MHD_add_response_header (req->response, "Retry-After", number);
     }
-  if (c->http->closing)
-    MHD_add_response_header (c->response, "Connection", "close");
-  if (c->ended)
-    free_call (c);
-  else if (c->suspended)
-    MHD_resume_connection (c->connection);
+  if (req->http->quiesced)
+    MHD_add_response_header (req->response, "Connection", "close");
+  if (req->aborted)
+    free_request (req);
+  else if (req->suspended)
+    MHD_resume_connection (req->connection);
 }
--- a/src/connection/pool.c
+++ b/src/connection/pool.c
@@ -11,85 +11,85 @@
 
 #define PART "pool"
 /* A connection that is not up by then counts as failed. */
-#define OPEN_MAX_US (1500 * CFS_US_PER_MS)
+#define OPEN_TIMEOUT_US (1500 * CFS_US_PER_MS)
 /* Idle links are closed after this time. */
-#define IDLE_US (1500 * CFS_US_PER_MS)
+#define IDLE_TIMEOUT_US (1500 * CFS_US_PER_MS)
 /* The same while the instance refuses connections. */
-#define IDLE_PRESSED_US (150 * CFS_US_PER_MS)
+#define IDLE_TIMEOUT_LIMITED_US (150 * CFS_US_PER_MS)
 /* A settling link whose replies do not come is closed. */
-#define SETTLE_MAX_US (2 * CFS_US_PER_S)
+#define DRAIN_TIMEOUT_US (2 * CFS_US_PER_S)
 /* Named to instances where callers need no key. */
-#define OPEN_TEAM "public"
+#define PUBLIC_TEAM "public"
 
 struct cfs_pooled_conn
 {
   struct cfs_pool *pool;
-  char site[CFS_NAME_MAX];
+  char target[CFS_NAME_MAX];
   char team[CFS_NAME_MAX];
   struct cfs_pooled_conn *next;
-  struct cfs_target_conn *wire;
+  struct cfs_target_conn *target_conn;
   const struct cfs_pooled_conn_events *events;
-  void *holder;
-  bool up;
-  unsigned due;
+  void *user;
+  bool established;
+  unsigned pending;
   enum cfs_tx_state state;
-  int64_t since;
+  int64_t changed_at;
   GHashTable *values;
   GHashTable *prepared;
 };
 
-static struct site *
-site_of (const struct cfs_pooled_conn *l)
+static struct target_state *
+state_of (const struct cfs_pooled_conn *c)
 {
-  return cfs_table_find (&l->pool->sites, l->site);
+  return cfs_table_find (&c->pool->states, c->target);
 }
 
 static void
-unlink_link (struct cfs_pooled_conn *l)
+remove_conn (struct cfs_pooled_conn *c)
 {
-  struct site *s = site_of (l);
-  struct cfs_pooled_conn **at = &s->first;
+  struct target_state *s = state_of (c);
+  struct cfs_pooled_conn **at = &s->first_conn;
 
-  while (*at != l)
+  while (*at != c)
     at = &(*at)->next;
-  *at = l->next;
-  s->count--;
-  s->opening -= !l->up;
-  s->due -= l->due;
+  *at = c->next;
+  s->conn_count--;
+  s->opening -= !c->established;
+  s->pending -= c->pending;
 }
 
 static void
-free_link (struct cfs_pooled_conn *l)
+free_conn (struct cfs_pooled_conn *c)
 {
-  unlink_link (l);
-  g_hash_table_destroy (l->values);
-  g_hash_table_destroy (l->prepared);
-  free (l);
+  remove_conn (c);
+  g_hash_table_destroy (c->values);
+  g_hash_table_destroy (c->prepared);
+  free (c);
 }
 
 void
-cfs_pool_close_conn (struct cfs_pooled_conn *l)
+cfs_pool_close_conn (struct cfs_pooled_conn *c)
 {
-  l->wire->ops->close (l->wire);
-  free_link (l);
+  c->target_conn->ops->close (c->target_conn);
+  free_conn (c);
 }
 
 static void
 on_opened (void *owner, const struct cfs_reply *r)
 {
-  struct cfs_pooled_conn *l = owner;
-  struct site *s = site_of (l);
-  const struct cfs_pooled_conn_events *events = l->events;
-  void *holder = l->holder;
-  int64_t now = cfs_pool_now (l->pool);
+  struct cfs_pooled_conn *c = owner;
+  struct target_state *s = state_of (c);
+  const struct cfs_pooled_conn_events *events = c->events;
+  void *user = c->user;
+  int64_t now = cfs_pool_now (c->pool);
 
-  site_note_answer (s, now);
+  target_note_reply (s, now);
   if (r->code == REPLY_OK)
     {
-      l->up = true;
+      c->established = true;
       s->opening--;
-      l->state = r->state;
-      l->since = now;
+      c->state = r->state;
+      c->changed_at = now;
       s->opened++;
     }
   else
@@ -97,82 +97,82 @@
       s->refused++;
       if (r->code == REPLY_NO_CONNECTION || r->code == REPLY_BUSY)
         {
-          s->refused_at = now;
-          site_note_overload (l->pool, s, now);
+          s->conn_refused_at = now;
+          target_note_overload (c->pool, s, now);
         }
       else
-        site_note_failure (s, now);
+        target_note_failure (s, now);
       cfs_log (CFS_INFO, PART, "target=%s team=%s connection refused code=%s",
-               l->site, l->team, cfs_reply_name (r->code));
-      cfs_pool_close_conn (l);
+               c->target, c->team, cfs_reply_name (r->code));
+      cfs_pool_close_conn (c);
     }
-  if (holder)
-    events->opened (holder, r);
+  if (user)
+    events->opened (user, r);
 }
 
 static void
-settle (struct cfs_pooled_conn *l, int64_t now)
+drain_released (struct cfs_pooled_conn *c, int64_t now)
 {
-  l->since = now;
-  if (l->due)
+  c->changed_at = now;
+  if (c->pending)
     return;
-  if (l->state != TX_IDLE)
-    cfs_pool_close_conn (l);
+  if (c->state != TX_IDLE)
+    cfs_pool_close_conn (c);
 }
 
 static void
 on_replied (void *owner, const struct cfs_reply *r)
 {
-  struct cfs_pooled_conn *l = owner;
-  struct site *s = site_of (l);
+  struct cfs_pooled_conn *c = owner;
+  struct target_state *s = state_of (c);
 
-  if (l->due)
+  if (c->pending)
     {
-      l->due--;
-      s->due--;
+      c->pending--;
+      s->pending--;
     }
-  l->state = r->state;
-  site_note_answer (s, cfs_pool_now (l->pool));
-  if (l->holder)
-    l->events->replied (l->holder, r);
+  c->state = r->state;
+  target_note_reply (s, cfs_pool_now (c->pool));
+  if (c->user)
+    c->events->replied (c->user, r);
   else
-    settle (l, cfs_pool_now (l->pool));
+    drain_released (c, cfs_pool_now (c->pool));
 }
 
 static void
 on_lost (void *owner, const char *reason)
 {
-  struct cfs_pooled_conn *l = owner;
-  const struct cfs_pooled_conn_events *events = l->events;
-  void *holder = l->holder;
-  bool idle = l->up && !holder && l->due == 0;
+  struct cfs_pooled_conn *c = owner;
+  const struct cfs_pooled_conn_events *events = c->events;
+  void *user = c->user;
+  bool idle = c->established && !user && c->pending == 0;
 
   if (!idle)
     {
-      site_note_failure (site_of (l), cfs_pool_now (l->pool));
+      target_note_failure (state_of (c), cfs_pool_now (c->pool));
       cfs_log (CFS_NOTICE, PART, "target=%s team=%s up=%d link lost: %s",
-               l->site, l->team, l->up, reason);
+               c->target, c->team, c->established, reason);
     }
-  free_link (l);
-  if (holder)
-    events->lost (holder, reason);
+  free_conn (c);
+  if (user)
+    events->lost (user, reason);
 }
 
-static const struct cfs_target_conn_events wire_events
+static const struct cfs_target_conn_events target_conn_events
     = { on_opened, on_replied, on_lost };
 
 struct cfs_pool *
-cfs_pool_new (const struct cfs_target_adapter *edge,
+cfs_pool_new (const struct cfs_target_adapter *adapter,
               const struct cfs_fleet *fleet, int64_t (*clock) (void),
               uint64_t seed)
 {
   struct cfs_pool *p = cfs_alloc (sizeof *p);
 
-  p->edge = edge;
+  p->adapter = adapter;
   p->fleet = fleet;
   p->clock = clock;
   p->seed = seed;
-  cfs_table_init (&p->sites, sizeof (struct site));
+  cfs_table_init (&p->states, sizeof (struct target_state));
   return p;
 }
 
@@ -187,222 +187,224 @@
 {
   if (!p)
     return;
-  for (size_t i = 0; i < p->sites.count; i++)
+  for (size_t i = 0; i < p->states.count; i++)
     {
-      struct site *s = cfs_table_at (&p->sites, i);
+      struct target_state *s = cfs_table_at (&p->states, i);
       struct cfs_pooled_conn *next;
 
-      for (struct cfs_pooled_conn *l = s->first; l; l = next)
+      for (struct cfs_pooled_conn *c = s->first_conn; c; c = next)
         {
-          next = l->next;
-          cfs_pool_close_conn (l);
+          next = c->next;
+          cfs_pool_close_conn (c);
         }
     }
-  cfs_table_end (&p->sites);
+  cfs_table_end (&p->states);
   free (p);
 }
 
 static bool
-is_idle (const struct cfs_pooled_conn *l)
+is_idle (const struct cfs_pooled_conn *c)
 {
-  return !l->holder && l->up && l->due == 0 && l->state == TX_IDLE;
+  return !c->user && c->established && c->pending == 0 && c->state == TX_IDLE;
 }
 
 /* Whether a link that nobody holds is to be closed. */
 static bool
-is_stale (const struct cfs_pool *p, const struct site *s,
-          const struct cfs_pooled_conn *l, int64_t now)
+is_expired (const struct cfs_pool *p, const struct target_state *s,
+            const struct cfs_pooled_conn *c, int64_t now)
 {
   const struct cfs_target *t = cfs_fleet_target (p->fleet, s->id);
-  int64_t age = now - l->since;
+  int64_t age = now - c->changed_at;
 
-  if (l->holder)
+  if (c->user)
     return false;
-  if (!l->up)
-    return age > OPEN_MAX_US;
-  if (l->due)
-    return age > SETTLE_MAX_US;
+  if (!c->established)
+    return age > OPEN_TIMEOUT_US;
+  if (c->pending)
+    return age > DRAIN_TIMEOUT_US;
   return !t || t->draining
-         || age > (site_is_pressed (s, now) ? IDLE_PRESSED_US : IDLE_US);
+         || age > (target_at_conn_limit (s, now) ? IDLE_TIMEOUT_LIMITED_US
+                                                 : IDLE_TIMEOUT_US);
 }
 
 /* A held link that does not come up ends as lost. */
 static bool
-is_hung (const struct cfs_pooled_conn *l, int64_t now)
+open_timed_out (const struct cfs_pooled_conn *c, int64_t now)
 {
-  return l->holder && !l->up && now - l->since > OPEN_MAX_US;
+  return c->user && !c->established && now - c->changed_at > OPEN_TIMEOUT_US;
 }
 
 static struct cfs_pooled_conn *
-find_expired (const struct cfs_pool *p, const struct site *s, int64_t now)
+find_closable (const struct cfs_pool *p, const struct target_state *s,
+               int64_t now)
 {
-  for (struct cfs_pooled_conn *l = s->first; l; l = l->next)
-    if (is_stale (p, s, l, now) || is_hung (l, now))
-      return l;
+  for (struct cfs_pooled_conn *c = s->first_conn; c; c = c->next)
+    if (is_expired (p, s, c, now) || open_timed_out (c, now))
+      return c;
   return NULL;
 }
 
 void
 cfs_pool_tick (struct cfs_pool *p, int64_t now)
 {
-  for (size_t i = 0; i < p->sites.count; i++)
+  for (size_t i = 0; i < p->states.count; i++)
     {
-      struct cfs_pooled_conn *l;
+      struct cfs_pooled_conn *c;
 
-      while ((l = find_expired (p, cfs_table_at (&p->sites, i), now)))
-        if (is_hung (l, now))
+      while ((c = find_closable (p, cfs_table_at (&p->states, i), now)))
+        if (open_timed_out (c, now))
           {
-            l->wire->ops->close (l->wire);
-            on_lost (l, "the connection does not come up");
+            c->target_conn->ops->close (c->target_conn);
+            on_lost (c, "the connection does not come up");
           }
         else
-          cfs_pool_close_conn (l);
+          cfs_pool_close_conn (c);
     }
 }
 
 /* The idle link of a team, or with team NULL the least recently used one. */
 static struct cfs_pooled_conn *
-find_idle (const struct site *s, const char *team)
+find_idle (const struct target_state *s, const char *team)
 {
   struct cfs_pooled_conn *last = NULL;
 
-  for (struct cfs_pooled_conn *l = s->first; l; l = l->next)
+  for (struct cfs_pooled_conn *c = s->first_conn; c; c = c->next)
     {
-      if (!is_idle (l))
+      if (!is_idle (c))
         continue;
-      if (team && strcmp (l->team, team) == 0)
-        return l;
+      if (team && strcmp (c->team, team) == 0)
+        return c;
       if (!team)
-        last = l;
+        last = c;
     }
   return last;
 }
 
 static struct cfs_pooled_conn *
-open_link (struct cfs_pool *p, const struct cfs_target *t, const char *team)
+open_conn (struct cfs_pool *p, const struct cfs_target *t, const char *team)
 {
-  struct cfs_pooled_conn *l = cfs_alloc (sizeof *l);
+  struct cfs_pooled_conn *c = cfs_alloc (sizeof *c);
   struct cfs_target_conn_setup setup = { .address = t->address,
                                          .service = t->service,
-                                         .team = *team ? team : OPEN_TEAM,
+                                         .team = *team ? team : PUBLIC_TEAM,
                                          .target = t->id,
-                                         .events = &wire_events,
-                                         .owner = l };
-  struct site *s = site_add (p, t->id);
-
-  l->pool = p;
-  cfs_copy (l->site, sizeof l->site, t->id);
-  cfs_copy (l->team, sizeof l->team, team);
-  l->wire = p->edge->open (p->edge, &setup);
-  if (!l->wire)
+                                         .events = &target_conn_events,
+                                         .owner = c };
+  struct target_state *s = target_state_get (p, t->id);
+
+  c->pool = p;
+  cfs_copy (c->target, sizeof c->target, t->id);
+  cfs_copy (c->team, sizeof c->team, team);
+  c->target_conn = p->adapter->open (p->adapter, &setup);
+  if (!c->target_conn)
     {
-      free (l);
-      site_note_failure (s, cfs_pool_now (p));
+      free (c);
+      target_note_failure (s, cfs_pool_now (p));
       return NULL;
     }
-  l->values = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
-  l->prepared = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
-  l->next = s->first;
-  s->first = l;
-  s->count++;
+  c->values = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, g_free);
+  c->prepared = g_hash_table_new_full (g_str_hash, g_str_equal, g_free, NULL);
+  c->next = s->first_conn;
+  s->first_conn = c;
+  s->conn_count++;
   s->opening++;
-  return l;
+  return c;
 }
 
 struct cfs_pooled_conn *
 cfs_pool_acquire (struct cfs_pool *p, const char *target, const char *team,
-                  const struct cfs_pooled_conn_events *events, void *holder,
+                  const struct cfs_pooled_conn_events *events, void *user,
                   int64_t now, bool *opening)
 {
   const struct cfs_target *t = cfs_fleet_target (p->fleet, target);
-  struct site *s = site_add (p, target);
-  struct cfs_pooled_conn *l = find_idle (s, team);
+  struct target_state *s = target_state_get (p, target);
+  struct cfs_pooled_conn *c = find_idle (s, team);
 
-  if (!t || !site_takes_work (s, now))
+  if (!t || !target_accepts_work (s, now))
     return NULL;
-  if (!l)
+  if (!c)
     {
-      struct cfs_pooled_conn *other = find_idle (s, NULL);
+      struct cfs_pooled_conn *lru = find_idle (s, NULL);
 
       if (now < s->down_until)
         return NULL;
-      if (site_is_pressed (s, now) && other)
-        cfs_pool_close_conn (other);
-      l = open_link (p, t, team);
+      if (target_at_conn_limit (s, now) && lru)
+        cfs_pool_close_conn (lru);
+      c = open_conn (p, t, team);
     }
-  else if (s->first != l)
+  else if (s->first_conn != c)
     {
-      unlink_link (l);
-      s->due += l->due;
-      l->next = s->first;
-      s->first = l;
-      s->count++;
+      remove_conn (c);
+      s->pending += c->pending;
+      c->next = s->first_conn;
+      s->first_conn = c;
+      s->conn_count++;
     }
-  if (!l)
+  if (!c)
     return NULL;
-  l->events = events;
-  l->holder = holder;
-  l->since = now;
-  *opening = !l->up;
-  return l;
+  c->events = events;
+  c->user = user;
+  c->changed_at = now;
+  *opening = !c->established;
+  return c;
 }
 
 void
-cfs_pool_release (struct cfs_pooled_conn *l, int64_t now)
+cfs_pool_release (struct cfs_pooled_conn *c, int64_t now)
 {
-  l->holder = NULL;
-  if (!l->up)
-    l->since = now;
+  c->user = NULL;
+  if (!c->established)
+    c->changed_at = now;
   else
-    settle (l, now);
+    drain_released (c, now);
 }
 
 const char *
 cfs_pool_idle_team (const struct cfs_pool *p, const char *target)
 {
-  const struct site *s = cfs_table_find (&p->sites, target);
-  const struct cfs_pooled_conn *l = s ? find_idle (s, NULL) : NULL;
+  const struct target_state *s = cfs_table_find (&p->states, target);
+  const struct cfs_pooled_conn *c = s ? find_idle (s, NULL) : NULL;
 
-  return l ? l->team : NULL;
+  return c ? c->team : NULL;
 }
 
 void
-cfs_pooled_conn_send (struct cfs_pooled_conn *l,
+cfs_pooled_conn_send (struct cfs_pooled_conn *c,
                       const struct cfs_statement *statements, size_t count,
                       int64_t now)
 {
-  l->due += (unsigned)count;
-  site_of (l)->due += (unsigned)count;
-  l->since = now;
-  l->wire->ops->send (l->wire, statements, count);
+  c->pending += (unsigned)count;
+  state_of (c)->pending += (unsigned)count;
+  c->changed_at = now;
+  c->target_conn->ops->send (c->target_conn, statements, count);
 }
 
 const char *
-cfs_pooled_conn_target (const struct cfs_pooled_conn *l)
+cfs_pooled_conn_target (const struct cfs_pooled_conn *c)
 {
-  return l->site;
+  return c->target;
 }
 
 unsigned
-cfs_pooled_conn_pending (const struct cfs_pooled_conn *l)
+cfs_pooled_conn_pending (const struct cfs_pooled_conn *c)
 {
-  return l->due;
+  return c->pending;
 }
 
 GHashTable *
-cfs_pooled_conn_values (struct cfs_pooled_conn *l)
+cfs_pooled_conn_values (struct cfs_pooled_conn *c)
 {
-  return l->values;
+  return c->values;
 }
 
 GHashTable *
-cfs_pooled_conn_prepared (struct cfs_pooled_conn *l)
+cfs_pooled_conn_prepared (struct cfs_pooled_conn *c)
 {
-  return l->prepared;
+  return c->prepared;
 }
 
 void
-cfs_pooled_conn_record_latency (struct cfs_pooled_conn *l, int64_t took_us)
+cfs_pooled_conn_record_latency (struct cfs_pooled_conn *c, int64_t took_us)
 {
-  site_note_served (site_of (l), took_us, cfs_pool_now (l->pool));
+  target_note_latency (state_of (c), took_us, cfs_pool_now (c->pool));
 }
--- a/src/connection/pool.h
+++ b/src/connection/pool.h
@@ -28,21 +28,21 @@
  */
 struct cfs_pooled_conn_events
 {
-  void (*opened) (void *holder, const struct cfs_reply *reply);
-  void (*replied) (void *holder, const struct cfs_reply *reply);
-  void (*lost) (void *holder, const char *reason);
+  void (*opened) (void *user, const struct cfs_reply *reply);
+  void (*replied) (void *user, const struct cfs_reply *reply);
+  void (*lost) (void *user, const char *reason);
 };
 
 /**
  * cfs_pool_new() - without links
- * @edge: makes connections, must outlive the pool
+ * @adapter: makes connections, must outlive the pool
  * @fleet: targets, configuration and zones, must outlive the pool
  * @clock: gives the time at events
  * @seed: of the random part of pauses, not 0
  *
  * Return: freed by cfs_pool_free().
  */
-struct cfs_pool *cfs_pool_new (const struct cfs_target_adapter *edge,
+struct cfs_pool *cfs_pool_new (const struct cfs_target_adapter *adapter,
                                const struct cfs_fleet *fleet,
                                int64_t (*clock) (void), uint64_t seed);
 
@@ -66,7 +66,7 @@
  */
 struct cfs_pooled_conn *
 cfs_pool_acquire (struct cfs_pool *pool, const char *target, const char *team,
-                  const struct cfs_pooled_conn_events *events, void *holder,
+                  const struct cfs_pooled_conn_events *events, void *user,
                   int64_t now, bool *opening);
 
 /** cfs_pool_release() - takes a link back; closes it when it cannot be reused
@@ -80,15 +80,15 @@
  * cfs_pool_choose() - the instance that is likely to answer first
  * @service: name of the group
  * @need: position that its log must hold
- * @avoid: names of instances that were tried, @avoid_count of them
+ * @excluded: names of instances that were tried, @avoid_count of them
  *
  * Return: the target, or NULL when none may be asked now.
  */
 const struct cfs_target *cfs_pool_choose (struct cfs_pool *pool,
                                           const char *service,
                                           const struct cfs_position *need,
-                                          const char (*avoid)[CFS_NAME_MAX],
-                                          size_t avoid_count, int64_t now);
+                                          const char (*excluded)[CFS_NAME_MAX],
+                                          size_t excluded_count, int64_t now);
 
 /** cfs_pool_primary() - the instance that leads, or NULL when unknown */
 const struct cfs_target *cfs_pool_primary (struct cfs_pool *pool,
--- a/src/connection/sample.h
+++ b/src/connection/sample.h
@@ -23,7 +23,8 @@
  * @asked_at: when the question was sent
  */
 void cfs_samples_add (struct cfs_samples *samples, const char *service,
-                      const struct cfs_position *position, int64_t asked_at);
+                      const struct cfs_position *position,
+                      int64_t requested_at);
 
 /**
  * cfs_samples_min_position() - least position that covers what a read must see
