--- a/src/connection/pg.c
+++ b/src/connection/pg.c
@@ -18,7 +18,7 @@
 
 #define CONNECT_TIMEOUT_US (2 * CFS_US_PER_S)
 #define PROBE_TIMEOUT_US (500 * CFS_US_PER_MS)
-#define LINKS (GATE_CONNECTIONS_MAX * GATE_INSTANCES_MAX)
+#define WORK_CONNECTIONS (GATE_CONNECTIONS_MAX * GATE_INSTANCES_MAX)
 #define STEPS_MAX 8
 #define SQLSTATE_UNIQUE "23505"
 #define SQLSTATE_LOCKED "55P03"
@@ -27,12 +27,14 @@
   .position = "SELECT term, position, start, leads FROM "
               "coltsfootstage_position()",
   .promote = "SELECT coltsfootstage_promote($1)",
-  .remember = "INSERT INTO coltsfootstage_outcome (team, key, request) "
-              "VALUES ($1, $2, $3)",
-  .store = "UPDATE coltsfootstage_outcome SET result = $3 WHERE team = $1 "
-           "AND key = $2",
-  .recall = "SELECT request, result FROM coltsfootstage_outcome WHERE team = "
-            "$1 AND key = $2",
+  .record_key = "INSERT INTO coltsfootstage_outcome (team, key, request) "
+                "VALUES ($1, $2, $3)",
+  .store_result
+  = "UPDATE coltsfootstage_outcome SET result = $3 WHERE team = $1 "
+    "AND key = $2",
+  .fetch_result
+  = "SELECT request, result FROM coltsfootstage_outcome WHERE team = "
+    "$1 AND key = $2",
 };
 
 /* One statement of a pipeline. */
@@ -41,44 +43,44 @@
   STEP_BEGIN,
   STEP_BEGIN_READ,
   STEP_POSITION,
-  STEP_SEEN,
+  STEP_POSITION_AFTER,
   STEP_STATEMENT,
   STEP_COMMIT,
   STEP_ROLLBACK,
-  STEP_REMEMBER,
-  STEP_STORE,
-  STEP_RECALL,
+  STEP_RECORD_KEY,
+  STEP_STORE_RESULT,
+  STEP_FETCH_RESULT,
   STEP_PROMOTE
 };
 
-enum link_state
+enum conn_state
 {
-  LINK_NONE = 0,
-  LINK_CONNECTING,
-  LINK_IDLE,
-  LINK_RUNNING
+  CONN_NONE = 0,
+  CONN_CONNECTING,
+  CONN_IDLE,
+  CONN_RUNNING
 };
 
 /* What the pipeline under way is for. */
 enum stage
 {
   STAGE_WORK,
-  STAGE_STORE,
-  STAGE_RECALL,
-  STAGE_CLEAN
+  STAGE_STORE_RESULT,
+  STAGE_FETCH_RESULT,
+  STAGE_ROLLBACK
 };
 
-struct link
+struct pg_conn
 {
   struct cfs_pg *pg;
   unsigned index;
   unsigned inst;
   bool probe;
-  enum link_state state;
-  PGconn *conn;
+  enum conn_state state;
+  PGconn *pq;
   int watch;
   int fd;
-  int64_t since;
+  int64_t started_at;
   enum cfs_work work;
   enum stage stage;
   struct cfs_request *request;
@@ -89,25 +91,25 @@
   struct cfs_ran_result result;
   char *error;
   char sqlstate[6];
-  bool recalled;
+  bool result_found;
   bool digest_differs;
-  char number[24];
-  uint64_t start;
-  bool leads;
+  char term_text[24];
+  uint64_t term_start;
+  bool accepts_writes;
   uint64_t promote_term;
-  bool done;
+  bool failed;
 };
 
 struct cfs_pg
 {
   struct cfs_pg_setup setup;
   struct cfs_gate *gate;
-  struct link links[LINKS + GATE_INSTANCES_MAX];
-  unsigned top;
+  struct pg_conn conns[WORK_CONNECTIONS + GATE_INSTANCES_MAX];
+  unsigned conn_top;
 };
 
-static void link_ready (void *ctx, int events);
-static void link_failed (struct link *l);
+static void conn_ready (void *ctx, int events);
+static void conn_failed (struct pg_conn *c);
 
 struct cfs_pg *
 cfs_pg_new (const struct cfs_pg_setup *setup)
@@ -115,13 +117,13 @@
   struct cfs_pg *pg = cfs_alloc (sizeof *pg);
 
   pg->setup = *setup;
-  for (unsigned i = 0; i < LINKS + GATE_INSTANCES_MAX; i++)
+  for (unsigned i = 0; i < WORK_CONNECTIONS + GATE_INSTANCES_MAX; i++)
     {
-      pg->links[i].pg = pg;
-      pg->links[i].index = i;
-      pg->links[i].probe = i >= LINKS;
-      if (i >= LINKS)
-        pg->links[i].inst = i - LINKS;
+      pg->conns[i].pg = pg;
+      pg->conns[i].index = i;
+      pg->conns[i].probe = i >= WORK_CONNECTIONS;
+      if (i >= WORK_CONNECTIONS)
+        pg->conns[i].inst = i - WORK_CONNECTIONS;
     }
   return pg;
 }
@@ -133,20 +135,20 @@
 }
 
 static void
-reset_link (struct link *l)
-{
-  cfs_loop_remove (l->pg->setup.loop, l->watch);
-  if (l->conn)
-    PQfinish (l->conn);
-  free (l->result.body);
-  free (l->error);
-  l->conn = NULL;
-  l->watch = 0;
-  l->state = LINK_NONE;
-  l->request = NULL;
-  l->error = NULL;
-  l->done = false;
-  memset (&l->result, 0, sizeof l->result);
+reset_conn (struct pg_conn *c)
+{
+  cfs_loop_remove (c->pg->setup.loop, c->watch);
+  if (c->pq)
+    PQfinish (c->pq);
+  free (c->result.body);
+  free (c->error);
+  c->pq = NULL;
+  c->watch = 0;
+  c->state = CONN_NONE;
+  c->request = NULL;
+  c->error = NULL;
+  c->failed = false;
+  memset (&c->result, 0, sizeof c->result);
 }
 
 void
@@ -154,33 +156,33 @@
 {
   if (!pg)
     return;
-  for (unsigned i = 0; i < LINKS + GATE_INSTANCES_MAX; i++)
-    reset_link (&pg->links[i]);
+  for (unsigned i = 0; i < WORK_CONNECTIONS + GATE_INSTANCES_MAX; i++)
+    reset_conn (&pg->conns[i]);
   free (pg);
 }
 
 static void
-watch_link (struct link *l, int events)
+watch_conn (struct pg_conn *c, int events)
 {
-  int fd = PQsocket (l->conn);
+  int fd = PQsocket (c->pq);
 
-  if (l->watch && l->fd == fd)
+  if (c->watch && c->fd == fd)
     {
-      cfs_loop_change (l->pg->setup.loop, l->watch, events);
+      cfs_loop_change (c->pg->setup.loop, c->watch, events);
       return;
     }
-  cfs_loop_remove (l->pg->setup.loop, l->watch);
-  l->fd = fd;
-  l->watch = cfs_loop_add (l->pg->setup.loop, fd, events, link_ready, l);
+  cfs_loop_remove (c->pg->setup.loop, c->watch);
+  c->fd = fd;
+  c->watch = cfs_loop_add (c->pg->setup.loop, fd, events, conn_ready, c);
 }
 
 static void
-start_connect (struct link *l)
+start_connect (struct pg_conn *c)
 {
-  const struct cfs_pg_setup *s = &l->pg->setup;
+  const struct cfs_pg_setup *s = &c->pg->setup;
   uint32_t port;
   char port_text[8];
-  const char *address = cfs_gate_address (l->pg->gate, l->inst, &port);
+  const char *address = cfs_gate_address (c->pg->gate, c->inst, &port);
   const char *keys[]
       = { "hostaddr",         "port", "user", "dbname", "password", "sslmode",
           "application_name", NULL };
@@ -189,145 +191,145 @@
           s->password, "prefer",  "coltsfootstage", NULL };
 
   snprintf (port_text, sizeof port_text, "%u", port);
-  l->state = LINK_CONNECTING;
-  l->since = cfs_now ();
-  l->conn = PQconnectStartParams (keys, values, 0);
-  if (!l->conn || PQstatus (l->conn) == CONNECTION_BAD)
+  c->state = CONN_CONNECTING;
+  c->started_at = cfs_now ();
+  c->pq = PQconnectStartParams (keys, values, 0);
+  if (!c->pq || PQstatus (c->pq) == CONNECTION_BAD)
     {
-      l->done = true;
+      c->failed = true;
       return;
     }
-  watch_link (l, LOOP_WRITE);
+  watch_conn (c, LOOP_WRITE);
 }
 
 static void
-finish_connect (struct link *l)
+finish_connect (struct pg_conn *c)
 {
-  PQsetnonblocking (l->conn, 1);
-  PQenterPipelineMode (l->conn);
-  l->state = LINK_IDLE;
-  watch_link (l, LOOP_READ);
-  if (!l->probe)
-    cfs_gate_connected (l->pg->gate, l->index, cfs_now ());
+  PQsetnonblocking (c->pq, 1);
+  PQenterPipelineMode (c->pq);
+  c->state = CONN_IDLE;
+  watch_conn (c, LOOP_READ);
+  if (!c->probe)
+    cfs_gate_connected (c->pg->gate, c->index, cfs_now ());
 }
 
 static void
-poll_connect (struct link *l)
+poll_connect (struct pg_conn *c)
 {
-  switch (PQconnectPoll (l->conn))
+  switch (PQconnectPoll (c->pq))
     {
     case PGRES_POLLING_READING:
-      watch_link (l, LOOP_READ);
+      watch_conn (c, LOOP_READ);
       break;
     case PGRES_POLLING_WRITING:
-      watch_link (l, LOOP_WRITE);
+      watch_conn (c, LOOP_WRITE);
       break;
     case PGRES_POLLING_OK:
-      finish_connect (l);
+      finish_connect (c);
       break;
     default:
-      link_failed (l);
+      conn_failed (c);
       break;
     }
 }
 
 static int
-send_text (struct link *l, const char *sql, int count,
+send_text (struct pg_conn *c, const char *sql, int count,
            const char *const *values)
 {
-  return PQsendQueryParams (l->conn, sql, count, NULL, values, NULL, NULL, 0);
+  return PQsendQueryParams (c->pq, sql, count, NULL, values, NULL, NULL, 0);
 }
 
 static int
-send_step (struct link *l, enum step step)
+send_step (struct pg_conn *c, enum step step)
 {
-  const struct cfs_platform *p = l->pg->setup.platform;
-  const struct cfs_request *r = l->request;
-  const struct cfs_sql *sql = r ? l->pg->setup.statement (r) : NULL;
+  const struct cfs_platform *p = c->pg->setup.platform;
+  const struct cfs_request *r = c->request;
+  const struct cfs_sql *sql = r ? c->pg->setup.statement (r) : NULL;
   const char *keyed[3] = { r ? r->team : "", r ? r->key : "", NULL };
-  const char *number[1] = { l->number };
+  const char *number[1] = { c->term_text };
 
   switch (step)
     {
     case STEP_BEGIN:
-      return send_text (l, "BEGIN", 0, NULL);
+      return send_text (c, "BEGIN", 0, NULL);
     case STEP_BEGIN_READ:
-      return send_text (l, "BEGIN READ ONLY", 0, NULL);
+      return send_text (c, "BEGIN READ ONLY", 0, NULL);
     case STEP_POSITION:
-    case STEP_SEEN:
-      return send_text (l, p->position, 0, NULL);
+    case STEP_POSITION_AFTER:
+      return send_text (c, p->position, 0, NULL);
     case STEP_STATEMENT:
-      return send_text (l, sql->text, sql->param_count, sql->params);
+      return send_text (c, sql->text, sql->param_count, sql->params);
     case STEP_COMMIT:
-      l->commit_sent = true;
-      return send_text (l, "COMMIT", 0, NULL);
+      c->commit_sent = true;
+      return send_text (c, "COMMIT", 0, NULL);
     case STEP_ROLLBACK:
-      return send_text (l, "ROLLBACK", 0, NULL);
-    case STEP_REMEMBER:
+      return send_text (c, "ROLLBACK", 0, NULL);
+    case STEP_RECORD_KEY:
       keyed[2] = sql->digest;
-      return send_text (l, p->remember, 3, keyed);
-    case STEP_STORE:
-      keyed[2] = l->result.body;
-      return send_text (l, p->store, 3, keyed);
-    case STEP_RECALL:
-      return send_text (l, p->recall, 2, keyed);
+      return send_text (c, p->record_key, 3, keyed);
+    case STEP_STORE_RESULT:
+      keyed[2] = c->result.body;
+      return send_text (c, p->store_result, 3, keyed);
+    case STEP_FETCH_RESULT:
+      return send_text (c, p->fetch_result, 2, keyed);
     case STEP_PROMOTE:
-      return send_text (l, p->promote, 1, number);
+      return send_text (c, p->promote, 1, number);
     }
   return 0;
 }
 
 static void
-flush_link (struct link *l)
+flush_conn (struct pg_conn *c)
 {
-  int left = PQflush (l->conn);
+  int left = PQflush (c->pq);
 
   if (left < 0)
-    link_failed (l);
+    conn_failed (c);
   else
-    watch_link (l, left ? LOOP_READ | LOOP_WRITE : LOOP_READ);
+    watch_conn (c, left ? LOOP_READ | LOOP_WRITE : LOOP_READ);
 }
 
 static void
-send_steps (struct link *l, enum stage stage, const enum step *steps,
+send_steps (struct pg_conn *c, enum stage stage, const enum step *steps,
             unsigned count)
 {
   bool ok = true;
 
-  memcpy (l->steps, steps, count * sizeof *steps);
-  l->step_count = count;
-  l->step_at = 0;
-  l->stage = stage;
-  l->state = LINK_RUNNING;
+  memcpy (c->steps, steps, count * sizeof *steps);
+  c->step_count = count;
+  c->step_at = 0;
+  c->stage = stage;
+  c->state = CONN_RUNNING;
   for (unsigned i = 0; i < count && ok; i++)
-    ok = send_step (l, steps[i]) == 1;
-  if (!ok || PQpipelineSync (l->conn) != 1)
+    ok = send_step (c, steps[i]) == 1;
+  if (!ok || PQpipelineSync (c->pq) != 1)
     {
-      l->done = true;
+      c->failed = true;
       return;
     }
-  if (PQflush (l->conn) < 0)
-    l->done = true;
+  if (PQflush (c->pq) < 0)
+    c->failed = true;
   else
-    watch_link (l, LOOP_READ | LOOP_WRITE);
+    watch_conn (c, LOOP_READ | LOOP_WRITE);
 }
 
 void
 cfs_pg_connect (struct cfs_pg *pg, unsigned conn, unsigned inst)
 {
-  struct link *l = &pg->links[conn];
+  struct pg_conn *c = &pg->conns[conn];
 
-  reset_link (l);
-  l->inst = inst;
-  if (conn >= pg->top)
-    pg->top = conn + 1;
-  start_connect (l);
+  reset_conn (c);
+  c->inst = inst;
+  if (conn >= pg->conn_top)
+    pg->conn_top = conn + 1;
+  start_connect (c);
 }
 
 void
 cfs_pg_close (struct cfs_pg *pg, unsigned conn)
 {
-  reset_link (&pg->links[conn]);
+  reset_conn (&pg->conns[conn]);
 }
 
 void
@@ -338,256 +340,258 @@
   {
     enum step steps[STEPS_MAX];
     unsigned count;
-  } scripts[] = {
+  } pipelines[] = {
     [WORK_READ] = { { STEP_BEGIN_READ, STEP_POSITION, STEP_STATEMENT,
-                      STEP_SEEN, STEP_COMMIT },
+                      STEP_POSITION_AFTER, STEP_COMMIT },
                     5 },
     [WORK_WRITE]
     = { { STEP_BEGIN, STEP_STATEMENT, STEP_COMMIT, STEP_POSITION }, 4 },
-    [WORK_KEYED_WRITE] = { { STEP_BEGIN, STEP_REMEMBER, STEP_STATEMENT }, 3 },
+    [WORK_KEYED_WRITE]
+    = { { STEP_BEGIN, STEP_RECORD_KEY, STEP_STATEMENT }, 3 },
     [WORK_BEGIN] = { { STEP_BEGIN }, 1 },
     [WORK_STATEMENT] = { { STEP_STATEMENT }, 1 },
     [WORK_COMMIT] = { { STEP_COMMIT, STEP_POSITION }, 2 },
     [WORK_ROLLBACK] = { { STEP_ROLLBACK }, 1 },
   };
-  struct link *l = &pg->links[conn];
+  struct pg_conn *c = &pg->conns[conn];
 
-  memset (&l->result, 0, sizeof l->result);
-  l->work = work;
-  l->request = request;
-  l->commit_sent = false;
-  l->recalled = false;
-  l->digest_differs = false;
-  l->sqlstate[0] = '\0';
-  send_steps (l, STAGE_WORK, scripts[work].steps, scripts[work].count);
+  memset (&c->result, 0, sizeof c->result);
+  c->work = work;
+  c->request = request;
+  c->commit_sent = false;
+  c->result_found = false;
+  c->digest_differs = false;
+  c->sqlstate[0] = '\0';
+  send_steps (c, STAGE_WORK, pipelines[work].steps, pipelines[work].count);
 }
 
 void
 cfs_pg_probe (struct cfs_pg *pg, unsigned inst)
 {
   static const enum step position[] = { STEP_POSITION };
-  struct link *l = &pg->links[LINKS + inst];
+  struct pg_conn *c = &pg->conns[WORK_CONNECTIONS + inst];
 
-  if (l->state == LINK_NONE)
-    start_connect (l);
-  if (l->state != LINK_IDLE)
+  if (c->state == CONN_NONE)
+    start_connect (c);
+  if (c->state != CONN_IDLE)
     return;
-  l->since = cfs_now ();
-  if (l->promote_term)
+  c->started_at = cfs_now ();
+  if (c->promote_term)
     {
       static const enum step promote[] = { STEP_PROMOTE, STEP_POSITION };
 
-      snprintf (l->number, sizeof l->number, "%llu",
-                (unsigned long long)l->promote_term);
-      l->promote_term = 0;
-      send_steps (l, STAGE_WORK, promote, 2);
+      snprintf (c->term_text, sizeof c->term_text, "%llu",
+                (unsigned long long)c->promote_term);
+      c->promote_term = 0;
+      send_steps (c, STAGE_WORK, promote, 2);
       return;
     }
-  send_steps (l, STAGE_WORK, position, 1);
+  send_steps (c, STAGE_WORK, position, 1);
 }
 
 void
 cfs_pg_promote (struct cfs_pg *pg, unsigned inst, uint64_t term)
 {
-  pg->links[LINKS + inst].promote_term = term;
+  pg->conns[WORK_CONNECTIONS + inst].promote_term = term;
   cfs_pg_probe (pg, inst);
 }
 
 static void
-take_position (struct link *l, const PGresult *res)
+take_position (struct pg_conn *c, const PGresult *res)
 {
-  l->result.term = pg_result_number (res, 0);
-  l->result.position = pg_result_number (res, 1);
-  l->start = pg_result_number (res, 2);
-  l->leads = PQntuples (res) == 1 && PQnfields (res) > 3
-             && PQgetvalue (res, 0, 3)[0] == 't';
+  c->result.term = pg_result_number (res, 0);
+  c->result.position = pg_result_number (res, 1);
+  c->term_start = pg_result_number (res, 2);
+  c->accepts_writes = PQntuples (res) == 1 && PQnfields (res) > 3
+                      && PQgetvalue (res, 0, 3)[0] == 't';
 }
 
 /* What a read may have seen at most, and the history that it is part of. */
 static void
-take_seen (struct link *l, const PGresult *res)
+take_position_after (struct pg_conn *c, const PGresult *res)
 {
-  l->result.term = pg_result_number (res, 0);
-  l->result.seen = pg_result_number (res, 1);
+  c->result.term = pg_result_number (res, 0);
+  c->result.seen = pg_result_number (res, 1);
 }
 
 static void
-take_recall (struct link *l, const PGresult *res)
+take_stored_result (struct pg_conn *c, const PGresult *res)
 {
-  const struct cfs_sql *sql = l->pg->setup.statement (l->request);
+  const struct cfs_sql *sql = c->pg->setup.statement (c->request);
 
   if (PQntuples (res) != 1 || PQnfields (res) != 2)
     return;
-  l->recalled = true;
-  l->digest_differs = strcmp (PQgetvalue (res, 0, 0), sql->digest) != 0;
-  free (l->result.body);
-  l->result.body = cfs_strdup (PQgetvalue (res, 0, 1));
+  c->result_found = true;
+  c->digest_differs = strcmp (PQgetvalue (res, 0, 0), sql->digest) != 0;
+  free (c->result.body);
+  c->result.body = cfs_strdup (PQgetvalue (res, 0, 1));
 }
 
 static void
-take_error (struct link *l, const PGresult *res)
+take_error (struct pg_conn *c, const PGresult *res)
 {
   const char *state = PQresultErrorField (res, PG_DIAG_SQLSTATE);
   const char *text = PQresultErrorField (res, PG_DIAG_MESSAGE_PRIMARY);
 
-  if (l->error)
+  if (c->error)
     return;
-  cfs_copy (l->sqlstate, sizeof l->sqlstate, state ? state : "XX000");
-  l->error = cfs_strdup (text ? text : "the connection failed");
+  cfs_copy (c->sqlstate, sizeof c->sqlstate, state ? state : "XX000");
+  c->error = cfs_strdup (text ? text : "the connection failed");
 }
 
 static void
-take_result (struct link *l, PGresult *res)
+take_result (struct pg_conn *c, PGresult *res)
 {
   enum step step
-      = l->step_at < l->step_count ? l->steps[l->step_at] : STEP_BEGIN;
+      = c->step_at < c->step_count ? c->steps[c->step_at] : STEP_BEGIN;
 
   switch (PQresultStatus (res))
     {
     case PGRES_TUPLES_OK:
     case PGRES_COMMAND_OK:
       if (step == STEP_POSITION)
-        take_position (l, res);
-      else if (step == STEP_SEEN)
-        take_seen (l, res);
-      else if (step == STEP_RECALL)
-        take_recall (l, res);
+        take_position (c, res);
+      else if (step == STEP_POSITION_AFTER)
+        take_position_after (c, res);
+      else if (step == STEP_FETCH_RESULT)
+        take_stored_result (c, res);
       else if (step == STEP_STATEMENT)
         {
-          free (l->result.body);
-          l->result.body = pg_result_body (res);
+          free (c->result.body);
+          c->result.body = pg_result_body (res);
         }
       else if (step == STEP_COMMIT
                && strcmp (PQcmdStatus (res), "ROLLBACK") == 0)
         {
-          cfs_copy (l->sqlstate, sizeof l->sqlstate, "25P02");
-          free (l->error);
-          l->error = cfs_strdup ("the transaction had failed");
+          cfs_copy (c->sqlstate, sizeof c->sqlstate, "25P02");
+          free (c->error);
+          c->error = cfs_strdup ("the transaction had failed");
         }
       break;
     case PGRES_PIPELINE_ABORTED:
       break;
     default:
-      take_error (l, res);
+      take_error (c, res);
       break;
     }
 }
 
 /* Hands the result to the gate, which may give the link new work at once. */
 static void
-report (struct link *l, enum cfs_ran ran, bool clean)
+report_result (struct pg_conn *c, enum cfs_ran ran, bool clean)
 {
-  struct cfs_ran_result out = l->result;
+  struct cfs_ran_result out = c->result;
 
   out.ran = ran;
   out.clean = clean;
-  if (ran == RAN_ERROR && l->error)
+  if (ran == RAN_ERROR && c->error)
     {
       free (out.body);
-      out.body = pg_error_body (l->sqlstate, l->error);
+      out.body = pg_error_body (c->sqlstate, c->error);
     }
-  memset (&l->result, 0, sizeof l->result);
-  free (l->error);
-  l->error = NULL;
-  l->request = NULL;
-  l->state = LINK_IDLE;
-  cfs_gate_ran (l->pg->gate, l->index, &out, cfs_now ());
+  memset (&c->result, 0, sizeof c->result);
+  free (c->error);
+  c->error = NULL;
+  c->request = NULL;
+  c->state = CONN_IDLE;
+  cfs_gate_ran (c->pg->gate, c->index, &out, cfs_now ());
 }
 
 static bool
-link_clean (const struct link *l, bool inside)
+conn_clean (const struct pg_conn *c, bool in_tx)
 {
-  PGTransactionStatusType status = PQtransactionStatus (l->conn);
+  PGTransactionStatusType status = PQtransactionStatus (c->pq);
 
-  if (inside)
+  if (in_tx)
     return status == PQTRANS_INTRANS || status == PQTRANS_INERROR;
   return status == PQTRANS_IDLE;
 }
 
 /* The first pipeline of single work failed: decide what comes next. */
 static void
-after_error (struct link *l)
+after_error (struct pg_conn *c)
 {
   static const enum step rollback[] = { STEP_ROLLBACK };
-  static const enum step recall[]
-      = { STEP_ROLLBACK, STEP_RECALL, STEP_POSITION };
+  static const enum step fetch_result[]
+      = { STEP_ROLLBACK, STEP_FETCH_RESULT, STEP_POSITION };
 
-  if (l->work == WORK_KEYED_WRITE && l->stage == STAGE_WORK
-      && strcmp (l->sqlstate, SQLSTATE_UNIQUE) == 0 && !l->result.body)
+  if (c->work == WORK_KEYED_WRITE && c->stage == STAGE_WORK
+      && strcmp (c->sqlstate, SQLSTATE_UNIQUE) == 0 && !c->result.body)
     {
-      send_steps (l, STAGE_RECALL, recall, 3);
+      send_steps (c, STAGE_FETCH_RESULT, fetch_result, 3);
       return;
     }
-  send_steps (l, STAGE_CLEAN, rollback, 1);
+  send_steps (c, STAGE_ROLLBACK, rollback, 1);
 }
 
 static void
-after_work (struct link *l)
-{
-  static const enum step store[] = { STEP_STORE, STEP_COMMIT, STEP_POSITION };
-  bool inside = l->work == WORK_BEGIN || l->work == WORK_STATEMENT;
-
-  if (inside || l->work == WORK_ROLLBACK || l->work == WORK_COMMIT)
-    report (l, l->error ? RAN_ERROR : RAN_OK, link_clean (l, inside));
-  else if (l->error && link_clean (l, false) && l->commit_sent
-           && l->result.body && l->work == WORK_WRITE)
-    report (l, RAN_UNKNOWN, false);
-  else if (l->error)
-    after_error (l);
-  else if (l->work == WORK_KEYED_WRITE)
-    send_steps (l, STAGE_STORE, store, 3);
+after_work (struct pg_conn *c)
+{
+  static const enum step store_result[]
+      = { STEP_STORE_RESULT, STEP_COMMIT, STEP_POSITION };
+  bool in_tx = c->work == WORK_BEGIN || c->work == WORK_STATEMENT;
+
+  if (in_tx || c->work == WORK_ROLLBACK || c->work == WORK_COMMIT)
+    report_result (c, c->error ? RAN_ERROR : RAN_OK, conn_clean (c, in_tx));
+  else if (c->error && conn_clean (c, false) && c->commit_sent
+           && c->result.body && c->work == WORK_WRITE)
+    report_result (c, RAN_UNKNOWN, false);
+  else if (c->error)
+    after_error (c);
+  else if (c->work == WORK_KEYED_WRITE)
+    send_steps (c, STAGE_STORE_RESULT, store_result, 3);
   else
-    report (l, RAN_OK, link_clean (l, false));
+    report_result (c, RAN_OK, conn_clean (c, false));
 }
 
 static void
-after_recall (struct link *l)
+after_fetch_result (struct pg_conn *c)
 {
-  free (l->error);
-  l->error = NULL;
-  if (!l->recalled)
-    report (l, RAN_LOCKED, link_clean (l, false));
+  free (c->error);
+  c->error = NULL;
+  if (!c->result_found)
+    report_result (c, RAN_LOCKED, conn_clean (c, false));
   else
-    report (l, l->digest_differs ? RAN_KEY_REUSED : RAN_REPLAYED,
-            link_clean (l, false));
+    report_result (c, c->digest_differs ? RAN_KEY_REUSED : RAN_REPLAYED,
+                   conn_clean (c, false));
 }
 
 static void
-end_pipeline (struct link *l)
+finish_pipeline (struct pg_conn *c)
 {
-  if (l->probe)
+  if (c->probe)
     {
-      uint64_t term = l->result.term;
-      uint64_t position = l->result.position;
+      uint64_t term = c->result.term;
+      uint64_t position = c->result.position;
 
-      l->state = LINK_IDLE;
-      free (l->error);
-      l->error = NULL;
+      c->state = CONN_IDLE;
+      free (c->error);
+      c->error = NULL;
       if (term)
-        cfs_gate_probed (l->pg->gate, l->inst, term, position, l->start,
-                         l->leads, l->since, cfs_now ());
-      memset (&l->result, 0, sizeof l->result);
+        cfs_gate_probed (c->pg->gate, c->inst, term, position, c->term_start,
+                         c->accepts_writes, c->started_at, cfs_now ());
+      memset (&c->result, 0, sizeof c->result);
       return;
     }
-  switch (l->stage)
+  switch (c->stage)
     {
     case STAGE_WORK:
-      after_work (l);
+      after_work (c);
       break;
-    case STAGE_STORE:
-      if (l->error)
-        after_error (l);
+    case STAGE_STORE_RESULT:
+      if (c->error)
+        after_error (c);
       else
-        report (l, RAN_OK, link_clean (l, false));
+        report_result (c, RAN_OK, conn_clean (c, false));
       break;
-    case STAGE_RECALL:
-      after_recall (l);
+    case STAGE_FETCH_RESULT:
+      after_fetch_result (c);
       break;
-    case STAGE_CLEAN:
-      report (l,
-              strcmp (l->sqlstate, SQLSTATE_LOCKED) == 0 ? RAN_LOCKED
-                                                         : RAN_ERROR,
-              link_clean (l, false));
+    case STAGE_ROLLBACK:
+      report_result (c,
+                     strcmp (c->sqlstate, SQLSTATE_LOCKED) == 0 ? RAN_LOCKED
+                                                                : RAN_ERROR,
+                     conn_clean (c, false));
       break;
     }
 }
@@ -595,115 +599,115 @@
 /* Reads what has arrived.  Invariant: step_at results of the pipeline under
    way were taken. */
 static void
-read_results (struct link *l)
+read_results (struct pg_conn *c)
 {
   bool ended = false;
 
-  while (!ended && !PQisBusy (l->conn))
+  while (!ended && !PQisBusy (c->pq))
     {
-      PGresult *res = PQgetResult (l->conn);
+      PGresult *res = PQgetResult (c->pq);
 
       if (!res)
         {
-          l->step_at++;
-          if (l->step_at > l->step_count)
+          c->step_at++;
+          if (c->step_at > c->step_count)
             return;
           continue;
         }
       if (PQresultStatus (res) == PGRES_PIPELINE_SYNC)
         ended = true;
       else
-        take_result (l, res);
+        take_result (c, res);
       PQclear (res);
     }
   if (ended)
-    end_pipeline (l);
+    finish_pipeline (c);
 }
 
 /* The connection ended.  The gate hears what may have taken effect. */
 static void
-link_failed (struct link *l)
+conn_failed (struct pg_conn *c)
 {
-  enum link_state state = l->state;
+  enum conn_state state = c->state;
   struct cfs_ran_result lost = { .ran = RAN_NOT_RUN };
 
-  if (l->commit_sent && l->work != WORK_READ)
+  if (c->commit_sent && c->work != WORK_READ)
     lost.ran = RAN_UNKNOWN;
-  reset_link (l);
-  if (l->probe)
+  reset_conn (c);
+  if (c->probe)
     return;
-  if (state == LINK_RUNNING)
-    cfs_gate_ran (l->pg->gate, l->index, &lost, cfs_now ());
-  else if (state != LINK_NONE)
-    cfs_gate_lost (l->pg->gate, l->index, cfs_now ());
+  if (state == CONN_RUNNING)
+    cfs_gate_ran (c->pg->gate, c->index, &lost, cfs_now ());
+  else if (state != CONN_NONE)
+    cfs_gate_lost (c->pg->gate, c->index, cfs_now ());
 }
 
 static void
-link_ready (void *ctx, int events)
+conn_ready (void *ctx, int events)
 {
-  struct link *l = ctx;
+  struct pg_conn *c = ctx;
 
-  if (l->state == LINK_CONNECTING)
+  if (c->state == CONN_CONNECTING)
     {
-      poll_connect (l);
+      poll_connect (c);
       return;
     }
   if (events & LOOP_READ)
     {
-      if (!PQconsumeInput (l->conn) || PQstatus (l->conn) == CONNECTION_BAD)
+      if (!PQconsumeInput (c->pq) || PQstatus (c->pq) == CONNECTION_BAD)
         {
-          link_failed (l);
+          conn_failed (c);
           return;
         }
-      if (l->state == LINK_RUNNING)
-        read_results (l);
+      if (c->state == CONN_RUNNING)
+        read_results (c);
     }
-  if ((events & LOOP_WRITE) && l->conn)
-    flush_link (l);
+  if ((events & LOOP_WRITE) && c->pq)
+    flush_conn (c);
 }
 
 /* Calls a function on each link that was ever used. */
 static void
-each_link (struct cfs_pg *pg, void (*call) (struct link *l, int64_t now),
+each_conn (struct cfs_pg *pg, void (*apply) (struct pg_conn *c, int64_t now),
            int64_t now)
 {
-  for (unsigned i = 0; i < pg->top; i++)
-    call (&pg->links[i], now);
+  for (unsigned i = 0; i < pg->conn_top; i++)
+    apply (&pg->conns[i], now);
   for (unsigned i = 0; i < GATE_INSTANCES_MAX; i++)
-    call (&pg->links[LINKS + i], now);
+    apply (&pg->conns[WORK_CONNECTIONS + i], now);
 }
 
 static void
-tick_link (struct link *l, int64_t now)
+tick_conn (struct pg_conn *c, int64_t now)
 {
-  bool slow
-      = l->state == LINK_CONNECTING && now - l->since > CONNECT_TIMEOUT_US;
+  bool slow = c->state == CONN_CONNECTING
+              && now - c->started_at > CONNECT_TIMEOUT_US;
 
-  if (l->probe && l->state == LINK_RUNNING
-      && now - l->since > PROBE_TIMEOUT_US)
+  if (c->probe && c->state == CONN_RUNNING
+      && now - c->started_at > PROBE_TIMEOUT_US)
     slow = true;
   if (slow)
-    link_failed (l);
+    conn_failed (c);
 }
 
 static void
-pump_link (struct link *l, int64_t now)
+report_if_failed (struct pg_conn *c, int64_t now)
 {
   (void)now;
-  if (!l->done)
+  if (!c->failed)
     return;
-  l->done = false;
-  link_failed (l);
+  c->failed = false;
+  conn_failed (c);
 }
 
 void
 cfs_pg_tick (struct cfs_pg *pg, int64_t now)
 {
-  each_link (pg, tick_link, now);
+  each_conn (pg, tick_conn, now);
 }
 
 void
 cfs_pg_report_failures (struct cfs_pg *pg)
 {
-  each_link (pg, pump_link, 0);
+  each_conn (pg, report_if_failed, 0);
 }
--- a/src/connection/pg.h
+++ b/src/connection/pg.h
@@ -16,17 +16,17 @@
  * @position: gives one row: term, position, start of the term, and 't' when
  * the instance accepts writes
  * @promote: orders the instance to lead in the term $1
- * @remember: records team $1, key $2, digest $3; fails when it is recorded
- * @store: sets the result $3 of team $1 and key $2
- * @recall: gives digest and result of team $1 and key $2
+ * @record_key: records team $1, key $2, digest $3; fails when it is recorded
+ * @store_result: sets the result $3 of team $1 and key $2
+ * @fetch_result: gives digest and result of team $1 and key $2
  */
 struct cfs_platform
 {
   const char *position;
   const char *promote;
-  const char *remember;
-  const char *store;
-  const char *recall;
+  const char *record_key;
+  const char *store_result;
+  const char *fetch_result;
 };
 
 /** cfs_platform_sql - the platform of the users' database groups */
--- a/src/connection/token.c
+++ b/src/connection/token.c
@@ -11,8 +11,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define BINARY_MAX (TOKEN_TEXT_MAX * 3 / 4)
-#define VARIANT sodium_base64_VARIANT_URLSAFE_NO_PADDING
+#define DECODED_MAX (TOKEN_TEXT_MAX * 3 / 4)
+#define BASE64_VARIANT sodium_base64_VARIANT_URLSAFE_NO_PADDING
 
 void
 cfs_token_derive_key (const char *secret, unsigned char *key)
@@ -27,7 +27,7 @@
 cfs_token_write (const struct cfs_token *t, const unsigned char *key,
                  char *out)
 {
-  unsigned char data[BINARY_MAX];
+  unsigned char data[DECODED_MAX];
   char *text = (char *)data;
   size_t room = sizeof data - crypto_auth_BYTES;
   size_t len = (size_t)snprintf (text, room, "%s\n", t->team);
@@ -38,12 +38,12 @@
                              t->at[i].term, t->at[i].position);
   crypto_auth (data + len, data, len, key);
   sodium_bin2base64 (out, TOKEN_TEXT_MAX, data, len + crypto_auth_BYTES,
-                     VARIANT);
+                     BASE64_VARIANT);
 }
 
 /* Parses "group term position"; @line is terminated. */
 static bool
-read_entry (char *line, struct cfs_token_entry *e)
+parse_entry (char *line, struct cfs_token_entry *e)
 {
   char *space = strchr (line, ' ');
   char *end;
@@ -60,7 +60,7 @@
 }
 
 static int
-read_text (char *text, struct cfs_token *t)
+parse_text (char *text, struct cfs_token *t)
 {
   char *save = NULL;
   char *line;
@@ -74,7 +74,8 @@
   for (line = strtok_r (first_end + 1, "\n", &save); line;
        line = strtok_r (NULL, "\n", &save))
     {
-      if (t->count == TOKEN_GROUPS_MAX || !read_entry (line, &t->at[t->count]))
+      if (t->count == TOKEN_GROUPS_MAX
+          || !parse_entry (line, &t->at[t->count]))
         return CFS_BAD;
       t->count++;
     }
@@ -85,13 +86,13 @@
 cfs_token_read (const char *text, const unsigned char *key,
                 struct cfs_token *t)
 {
-  unsigned char data[BINARY_MAX + 1];
+  unsigned char data[DECODED_MAX + 1];
   size_t len = 0;
   size_t body;
 
   if (strlen (text) >= TOKEN_TEXT_MAX
-      || sodium_base642bin (data, BINARY_MAX, text, strlen (text), NULL, &len,
-                            NULL, VARIANT)
+      || sodium_base642bin (data, DECODED_MAX, text, strlen (text), NULL, &len,
+                            NULL, BASE64_VARIANT)
              != 0
       || len < crypto_auth_BYTES)
     return CFS_BAD;
@@ -101,7 +102,7 @@
   data[body] = '\0';
   if (strlen ((char *)data) != body)
     return CFS_BAD;
-  return read_text ((char *)data, t);
+  return parse_text ((char *)data, t);
 }
 
 const struct cfs_token_entry *
--- a/src/version/catalog.c
+++ b/src/version/catalog.c
@@ -37,9 +37,9 @@
 }
 
 static bool
-has_twins (const void *rows, size_t count, size_t size)
+has_duplicates (const void *entries, size_t count, size_t size)
 {
-  const char *p = rows;
+  const char *p = entries;
 
   for (size_t i = 1; i < count; i++)
     if (strcmp (p + (i - 1) * size, p + i * size) == 0)
@@ -48,38 +48,39 @@
 }
 
 static bool
-sort (void *rows, size_t count, size_t size)
+sort_entries (void *entries, size_t count, size_t size)
 {
   if (count > 1)
-    qsort (rows, count, size, by_name);
-  return !has_twins (rows, count, size);
+    qsort (entries, count, size, by_name);
+  return !has_duplicates (entries, count, size);
 }
 
 /* The handles of a table after it was sorted, from those before. */
 struct renumber
 {
   char name[CFS_NAME_MAX];
-  uint32_t old;
+  uint32_t old_index;
 };
 
 /* Sorts a table whose rows begin with a name of CFS_NAME_MAX bytes.
    Return: the new handle of each old one, freed by the caller. */
 static uint32_t *
-sort_named (void *rows, size_t count, size_t size, bool *ok)
+sort_and_renumber (void *entries, size_t count, size_t size, bool *ok)
 {
   struct renumber *map = cfs_alloc ((count + 1) * sizeof *map);
-  uint32_t *now = cfs_alloc ((count + 1) * sizeof *now);
+  uint32_t *new_index = cfs_alloc ((count + 1) * sizeof *new_index);
 
   for (size_t i = 0; i < count; i++)
     {
-      cfs_copy (map[i].name, CFS_NAME_MAX, (char *)rows + i * size);
-      map[i].old = (uint32_t)i;
+      cfs_copy (map[i].name, CFS_NAME_MAX, (char *)entries + i * size);
+      map[i].old_index = (uint32_t)i;
     }
-  *ok = sort (map, count, sizeof *map) && sort (rows, count, size);
+  *ok = sort_entries (map, count, sizeof *map)
+        && sort_entries (entries, count, size);
   for (size_t i = 0; i < count; i++)
-    now[map[i].old] = (uint32_t)i;
+    new_index[map[i].old_index] = (uint32_t)i;
   free (map);
-  return now;
+  return new_index;
 }
 
 const char *
@@ -87,10 +88,10 @@
 {
   bool services_ok;
   bool teams_ok;
-  uint32_t *services = sort_named (c->services, c->service_count,
-                                   sizeof *c->services, &services_ok);
-  uint32_t *teams
-      = sort_named (c->teams, c->team_count, sizeof *c->teams, &teams_ok);
+  uint32_t *services = sort_and_renumber (c->services, c->service_count,
+                                          sizeof *c->services, &services_ok);
+  uint32_t *teams = sort_and_renumber (c->teams, c->team_count,
+                                       sizeof *c->teams, &teams_ok);
 
   for (size_t i = 0; i < c->route_count; i++)
     c->routes[i].service = services[c->routes[i].service];
@@ -102,9 +103,9 @@
     return "two services have the same name";
   if (!teams_ok)
     return "two teams have the same name";
-  if (!sort (c->routes, c->route_count, sizeof *c->routes))
+  if (!sort_entries (c->routes, c->route_count, sizeof *c->routes))
     return "two routes have the same database";
-  sort (c->api_keys, c->api_key_count, sizeof *c->api_keys);
+  sort_entries (c->api_keys, c->api_key_count, sizeof *c->api_keys);
   for (size_t i = 1; i < c->api_key_count; i++)
     if (strcmp (c->api_keys[i - 1].key, c->api_keys[i].key) == 0
         && c->api_keys[i - 1].team != c->api_keys[i].team)
@@ -113,9 +114,9 @@
 }
 
 static const void *
-find (const void *rows, size_t count, size_t size, const char *name)
+find (const void *entries, size_t count, size_t size, const char *name)
 {
-  return count ? bsearch (name, rows, count, size, by_name) : NULL;
+  return count ? bsearch (name, entries, count, size, by_name) : NULL;
 }
 
 const struct cfs_route *
@@ -133,10 +134,10 @@
 const struct cfs_team_limits *
 cfs_catalog_team_by_key (const struct cfs_catalog *c, const char *key)
 {
-  const struct cfs_api_key *g
+  const struct cfs_api_key *k
       = find (c->api_keys, c->api_key_count, sizeof *c->api_keys, key);
 
-  return g ? &c->teams[g->team] : NULL;
+  return k ? &c->teams[k->team] : NULL;
 }
 
 const struct cfs_team_limits *
--- a/src/version/conf.c
+++ b/src/version/conf.c
@@ -48,7 +48,7 @@
         { "groups", FIELD_MAP, 0, 0, NULL, false, group_fields },
         { NULL, FIELD_BOOL, 0, 0, NULL, false, NULL } };
 
-#define SHEET_MAX_AGE_MS 5000
+#define SHEET_MAX_AGE_DEFAULT_MS 5000
 
 static int
 compare_names (const void *a, const void *b)
@@ -58,11 +58,11 @@
 
 /* Every table row starts with its name, so one search serves all. */
 static const void *
-find_row (const void *rows, size_t count, size_t size, const char *name)
+find_entry (const void *entries, size_t count, size_t size, const char *name)
 {
   if (count == 0)
     return NULL;
-  return bsearch (name, rows, count, size, compare_names);
+  return bsearch (name, entries, count, size, compare_names);
 }
 
 static size_t
@@ -82,7 +82,7 @@
 }
 
 static bool
-load_teams (struct cfs_conf *c, const cJSON *doc, GError **error)
+parse_teams (struct cfs_conf *c, const cJSON *doc, GError **error)
 {
   const cJSON *map = cJSON_GetObjectItemCaseSensitive (doc, "teams");
   const cJSON *item;
@@ -105,7 +105,7 @@
 }
 
 static bool
-load_keys (struct cfs_conf *c, const cJSON *doc, GError **error)
+parse_keys (struct cfs_conf *c, const cJSON *doc, GError **error)
 {
   const cJSON *map = cJSON_GetObjectItemCaseSensitive (doc, "teams");
   const cJSON *team;
@@ -142,7 +142,7 @@
 }
 
 static bool
-load_sheets (struct cfs_conf *c, const cJSON *doc, GError **error)
+parse_sheets (struct cfs_conf *c, const cJSON *doc, GError **error)
 {
   const cJSON *map = cJSON_GetObjectItemCaseSensitive (doc, "sheets");
   const cJSON *item;
@@ -157,9 +157,9 @@
     cfs_copy (s->name, sizeof s->name, item->string);
     cfs_copy (s->group, sizeof s->group, cfs_json_string (item, "group", ""));
     s->sql = cfs_strdup (cfs_json_string (item, "sql", ""));
-    s->max_age_us
-        = (int64_t)cfs_json_number (item, "max_age_ms", SHEET_MAX_AGE_MS)
-          * CFS_US_PER_MS;
+    s->max_age_us = (int64_t)cfs_json_number (item, "max_age_ms",
+                                              SHEET_MAX_AGE_DEFAULT_MS)
+                    * CFS_US_PER_MS;
     s->open = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "open"));
     if (!team)
       return fail (error, "sheets", s->name, "its team does not exist");
@@ -170,7 +170,7 @@
 }
 
 static bool
-load_groups (struct cfs_conf *c, const cJSON *doc, GError **error)
+parse_groups (struct cfs_conf *c, const cJSON *doc, GError **error)
 {
   const cJSON *map = cJSON_GetObjectItemCaseSensitive (doc, "groups");
   const cJSON *item;
@@ -240,8 +240,8 @@
     }
   c = cfs_alloc (sizeof *c);
   c->version = version;
-  ok = load_teams (c, doc, error) && load_keys (c, doc, error)
-       && load_sheets (c, doc, error) && load_groups (c, doc, error);
+  ok = parse_teams (c, doc, error) && parse_keys (c, doc, error)
+       && parse_sheets (c, doc, error) && parse_groups (c, doc, error);
   cJSON_Delete (doc);
   if (ok)
     return c;
@@ -267,26 +267,26 @@
 cfs_conf_patch (const char *document, const char *patch, GError **error)
 {
   cJSON *doc = cfs_json_parse (document, CONF_FILE, error);
-  cJSON *change = doc ? cfs_json_parse (patch, "patch", error) : NULL;
-  struct cfs_conf *check;
+  cJSON *patch_doc = doc ? cfs_json_parse (patch, "patch", error) : NULL;
+  struct cfs_conf *parsed;
   char *text;
 
-  if (!change)
+  if (!patch_doc)
     {
       cJSON_Delete (doc);
       return NULL;
     }
-  merge_patch (doc, change);
-  cJSON_Delete (change);
+  merge_patch (doc, patch_doc);
+  cJSON_Delete (patch_doc);
   text = cJSON_PrintUnformatted (doc);
   cJSON_Delete (doc);
-  check = text ? cfs_conf_parse (text, 0, error) : NULL;
-  if (!check)
+  parsed = text ? cfs_conf_parse (text, 0, error) : NULL;
+  if (!parsed)
     {
       free (text);
       return NULL;
     }
-  cfs_conf_free (check);
+  cfs_conf_free (parsed);
   return text;
 }
 
@@ -304,7 +304,7 @@
   memcpy (id, key, (size_t)(dot - key));
   id[dot - key] = '\0';
   cfs_secret_hash (dot + 1, hash);
-  k = find_row (c->keys, c->key_count, sizeof *c->keys, id);
+  k = find_entry (c->keys, c->key_count, sizeof *c->keys, id);
   if (sodium_memcmp (hash, k ? k->hash : no_hash, sizeof hash) != 0 || !k)
     return NULL;
   return &c->teams[k->team];
@@ -313,19 +313,19 @@
 const struct cfs_team *
 cfs_conf_team (const struct cfs_conf *c, const char *name)
 {
-  return find_row (c->teams, c->team_count, sizeof *c->teams, name);
+  return find_entry (c->teams, c->team_count, sizeof *c->teams, name);
 }
 
 const struct cfs_sheet *
 cfs_conf_sheet (const struct cfs_conf *c, const char *name)
 {
-  return find_row (c->sheets, c->sheet_count, sizeof *c->sheets, name);
+  return find_entry (c->sheets, c->sheet_count, sizeof *c->sheets, name);
 }
 
 const struct cfs_group_conf *
 cfs_conf_group (const struct cfs_conf *c, const char *name)
 {
-  return find_row (c->groups, c->group_count, sizeof *c->groups, name);
+  return find_entry (c->groups, c->group_count, sizeof *c->groups, name);
 }
 
 void
--- a/src/version/schema.c
+++ b/src/version/schema.c
@@ -12,7 +12,7 @@
 #define PATH_MAX_BYTES 256
 #define FOUND_MAX_BYTES 48
 
-struct walk
+struct validation
 {
   const char *file;
   char path[PATH_MAX_BYTES];
@@ -65,7 +65,7 @@
 }
 
 static bool
-fail (struct walk *w, const char *found, const char *allowed)
+fail (struct validation *w, const char *found, const char *allowed)
 {
   g_set_error (w->error, CFS_SCHEMA_ERROR, 0,
                "%s: %s: found %s, allowed is %s", w->file,
@@ -74,7 +74,7 @@
 }
 
 static bool
-fail_field (struct walk *w, const struct cfs_field *f, const cJSON *json)
+fail_field (struct validation *w, const struct cfs_field *f, const cJSON *json)
 {
   char found[FOUND_MAX_BYTES];
   char allowed[128];
@@ -85,7 +85,7 @@
 }
 
 static bool
-is_name (const char *s, const char *set)
+has_only (const char *s, const char *set)
 {
   return s[strspn (s, set)] == '\0';
 }
@@ -110,15 +110,15 @@
   if (len < f->min || len > f->max || !g_utf8_validate (s, -1, NULL))
     return false;
   if (f->type == FIELD_NAME)
-    return is_name (s, names);
-  return f->type != FIELD_HEX || is_name (s, "0123456789abcdef");
+    return has_only (s, names);
+  return f->type != FIELD_HEX || has_only (s, "0123456789abcdef");
 }
 
-static bool check_object (struct walk *w, const cJSON *json,
+static bool check_object (struct validation *w, const cJSON *json,
                           const struct cfs_field *fields);
 
 static size_t
-enter (struct walk *w, const char *name)
+push_path (struct validation *w, const char *name)
 {
   size_t len = strlen (w->path);
 
@@ -128,7 +128,8 @@
 }
 
 static bool
-check_children (struct walk *w, const cJSON *json, const struct cfs_field *f)
+check_children (struct validation *w, const cJSON *json,
+                const struct cfs_field *f)
 {
   static const struct cfs_field key
       = { "", FIELD_NAME, 1, 48, NULL, true, NULL };
@@ -142,7 +143,7 @@
     bool ok;
 
     g_snprintf (number, sizeof number, "%d", index++);
-    len = enter (w, f->type == FIELD_MAP ? item->string : number);
+    len = push_path (w, f->type == FIELD_MAP ? item->string : number);
     if (f->type == FIELD_MAP && !text_allowed (&key, item->string))
       return fail (w, "this name", type_names[FIELD_NAME]);
     ok = check_object (w, item, f->children);
@@ -154,7 +155,8 @@
 }
 
 static bool
-check_field (struct walk *w, const cJSON *json, const struct cfs_field *f)
+check_field (struct validation *w, const cJSON *json,
+             const struct cfs_field *f)
 {
   switch (f->type)
     {
@@ -192,7 +194,7 @@
 }
 
 static bool
-check_object (struct walk *w, const cJSON *json,
+check_object (struct validation *w, const cJSON *json,
               const struct cfs_field *fields)
 {
   const cJSON *item;
@@ -206,7 +208,7 @@
   cJSON_ArrayForEach (item, json)
   {
     const struct cfs_field *f = fields;
-    size_t len = enter (w, item->string);
+    size_t len = push_path (w, item->string);
 
     while (f->name && strcmp (f->name, item->string) != 0)
       f++;
@@ -219,7 +221,7 @@
   for (const struct cfs_field *f = fields; f->name; f++)
     if (f->required && !cJSON_GetObjectItemCaseSensitive (json, f->name))
       {
-        enter (w, f->name);
+        push_path (w, f->name);
         return fail_field (w, f, NULL);
       }
   return true;
@@ -285,7 +287,7 @@
 cfs_schema_check (const cJSON *json, const struct cfs_field *fields,
                   const char *file, GError **error)
 {
-  struct walk w = { .file = file, .error = error };
+  struct validation w = { .file = file, .error = error };
 
   return check_object (&w, json, fields);
 }
