--- a/src/connection/adapter.h
+++ b/src/connection/adapter.h
@@ -183,9 +183,9 @@
  */
 struct cfs_target_conn_ops
 {
-  void (*send) (struct cfs_target_conn *wire,
+  void (*send) (struct cfs_target_conn *conn,
                 const struct cfs_statement *statements, size_t count);
-  void (*close) (struct cfs_target_conn *wire);
+  void (*close) (struct cfs_target_conn *conn);
 };
 
 /** struct cfs_target_conn - a connection to an instance, extended by its edge
@@ -248,7 +248,7 @@
  */
 struct cfs_target_adapter
 {
-  struct cfs_target_conn *(*open) (const struct cfs_target_adapter *edge,
+  struct cfs_target_conn *(*open) (const struct cfs_target_adapter *adapter,
                                    const struct cfs_target_conn_setup *setup);
   bool (*read_status) (const struct cfs_reply *reply,
                        struct cfs_instance_state *out);
--- a/src/connection/http.h
+++ b/src/connection/http.h
@@ -29,7 +29,7 @@
   const char *certificate;
   const char *key;
   uint32_t max_body_bytes;
-  void (*request) (void *ctx, struct cfs_http_request *call);
+  void (*request) (void *ctx, struct cfs_http_request *request);
   void *ctx;
 };
 
@@ -62,24 +62,24 @@
 size_t cfs_http_open_requests (const struct cfs_http *http);
 
 /** cfs_http_request_method() - such as "GET" */
-const char *cfs_http_request_method (const struct cfs_http_request *call);
+const char *cfs_http_request_method (const struct cfs_http_request *request);
 
 /** cfs_http_request_path() - path without query */
-const char *cfs_http_request_path (const struct cfs_http_request *call);
+const char *cfs_http_request_path (const struct cfs_http_request *request);
 
 /** cfs_http_request_header() - value of a header, or NULL */
-const char *cfs_http_request_header (const struct cfs_http_request *call,
+const char *cfs_http_request_header (const struct cfs_http_request *request,
                                      const char *name);
 
 /** cfs_http_request_cookie() - value of a cookie, or NULL */
-const char *cfs_http_request_cookie (const struct cfs_http_request *call,
+const char *cfs_http_request_cookie (const struct cfs_http_request *request,
                                      const char *name);
 
 /** cfs_http_request_body() - terminated body, "" when there is none */
-const char *cfs_http_request_body (const struct cfs_http_request *call);
+const char *cfs_http_request_body (const struct cfs_http_request *request);
 
 /** cfs_http_respond() - answers; @call must not be used afterwards */
-void cfs_http_respond (struct cfs_http_request *call,
-                       const struct cfs_http_response *answer);
+void cfs_http_respond (struct cfs_http_request *request,
+                       const struct cfs_http_response *response);
 
 #endif
--- a/src/connection/pool.h
+++ b/src/connection/pool.h
@@ -71,24 +71,24 @@
 
 /** cfs_pool_release() - takes a link back; closes it when it cannot be reused
  */
-void cfs_pool_release (struct cfs_pooled_conn *link, int64_t now);
+void cfs_pool_release (struct cfs_pooled_conn *conn, int64_t now);
 
 /** cfs_pool_close_conn() - closes a link at once */
-void cfs_pool_close_conn (struct cfs_pooled_conn *link);
+void cfs_pool_close_conn (struct cfs_pooled_conn *conn);
 
 /**
  * cfs_pool_choose() - the instance that is likely to answer first
  * @service: name of the group
- * @need: position that its log must hold
+ * @min_position: position that its log must hold
  * @excluded: names of instances that were tried, @avoid_count of them
  *
  * Return: the target, or NULL when none may be asked now.
  */
-const struct cfs_target *cfs_pool_choose (struct cfs_pool *pool,
-                                          const char *service,
-                                          const struct cfs_position *need,
-                                          const char (*excluded)[CFS_NAME_MAX],
-                                          size_t excluded_count, int64_t now);
+const struct cfs_target *
+cfs_pool_choose (struct cfs_pool *pool, const char *service,
+                 const struct cfs_position *min_position,
+                 const char (*excluded)[CFS_NAME_MAX], size_t excluded_count,
+                 int64_t now);
 
 /** cfs_pool_primary() - the instance that leads, or NULL when unknown */
 const struct cfs_target *cfs_pool_primary (struct cfs_pool *pool,
@@ -108,7 +108,8 @@
 
 /** cfs_pool_note_behind() - an instance's log lacks a position */
 void cfs_pool_note_behind (struct cfs_pool *pool, const char *target,
-                           const struct cfs_position *need, int64_t now);
+                           const struct cfs_position *min_position,
+                           int64_t now);
 
 /**
  * cfs_pool_note_stuck() - a write or commit at an instance had no answer in
@@ -127,22 +128,22 @@
                                 const char *target);
 
 /** cfs_pooled_conn_send() - hands statements over; each gets one reply */
-void cfs_pooled_conn_send (struct cfs_pooled_conn *link,
+void cfs_pooled_conn_send (struct cfs_pooled_conn *conn,
                            const struct cfs_statement *statements,
                            size_t count, int64_t now);
 
 /** cfs_pooled_conn_target() - name of the instance */
-const char *cfs_pooled_conn_target (const struct cfs_pooled_conn *link);
+const char *cfs_pooled_conn_target (const struct cfs_pooled_conn *conn);
 
 /** cfs_pooled_conn_pending() - statements without a reply */
-unsigned cfs_pooled_conn_pending (const struct cfs_pooled_conn *link);
+unsigned cfs_pooled_conn_pending (const struct cfs_pooled_conn *conn);
 
 /**
  * cfs_pooled_conn_record_latency() - tells how long a read or write took
  *
  * The choice of instances builds on it.
  */
-void cfs_pooled_conn_record_latency (struct cfs_pooled_conn *link,
+void cfs_pooled_conn_record_latency (struct cfs_pooled_conn *conn,
                                      int64_t took_us);
 
 /**
@@ -151,11 +152,11 @@
  * The table belongs to the link and is changed by whoever holds it, together
  * with the statements that make it true.
  */
-GHashTable *cfs_pooled_conn_values (struct cfs_pooled_conn *link);
+GHashTable *cfs_pooled_conn_values (struct cfs_pooled_conn *conn);
 
 /** cfs_pooled_conn_prepared() - names that are prepared on the link; as above
  */
-GHashTable *cfs_pooled_conn_prepared (struct cfs_pooled_conn *link);
+GHashTable *cfs_pooled_conn_prepared (struct cfs_pooled_conn *conn);
 
 /** cfs_pool_metrics() - appends counters */
 void cfs_pool_metrics (const struct cfs_pool *pool, GString *out);
--- a/src/connection/pool_target.c
+++ b/src/connection/pool_target.c
@@ -135,7 +135,7 @@
 
 const struct cfs_target *
 cfs_pool_choose (struct cfs_pool *p, const char *service,
-                 const struct cfs_position *need,
+                 const struct cfs_position *min_position,
                  const char (*excluded)[CFS_NAME_MAX], size_t excluded_count,
                  int64_t now)
 {
@@ -154,7 +154,7 @@
       if (s && (now < s->down_until || !target_accepts_work (s, now)))
         continue;
       if (s && now < s->behind_until
-          && cfs_position_compare (&s->behind, need) <= 0)
+          && cfs_position_compare (&s->behind, min_position) <= 0)
         continue;
       us = expected_latency_us (p, t, now);
       if (best && us >= best_us)
@@ -200,11 +200,11 @@
 
 void
 cfs_pool_note_behind (struct cfs_pool *p, const char *target,
-                      const struct cfs_position *need, int64_t now)
+                      const struct cfs_position *min_position, int64_t now)
 {
   struct target_state *s = target_state_get (p, target);
 
-  s->behind = *need;
+  s->behind = *min_position;
   if (now >= s->behind_until)
     s->behind_pause = next_backoff (s->behind_pause, BEHIND_US, BEHIND_MAX_US);
   s->behind_until = now + s->behind_pause;
--- a/src/connection/session_run.c
+++ b/src/connection/session_run.c
@@ -327,9 +327,9 @@
 }
 
 static void
-on_opened (void *holder, const struct cfs_reply *r)
+on_opened (void *user, const struct cfs_reply *r)
 {
-  struct cfs_session *s = holder;
+  struct cfs_session *s = user;
 
   if (r->code == REPLY_OK)
     {
@@ -509,9 +509,9 @@
 }
 
 static void
-on_replied (void *holder, const struct cfs_reply *r)
+on_replied (void *user, const struct cfs_reply *r)
 {
-  struct cfs_session *s = holder;
+  struct cfs_session *s = user;
   int64_t now = session_now (s);
 
   if (s->op.phase == OP_SETUP)
@@ -531,9 +531,9 @@
 }
 
 static void
-on_lost (void *holder, const char *reason)
+on_lost (void *user, const char *reason)
 {
-  struct cfs_session *s = holder;
+  struct cfs_session *s = user;
   int64_t now = session_now (s);
   bool sent = s->op.phase == OP_RUN;
 
