--- a/src/process/control.h
+++ b/src/process/control.h
@@ -9,7 +9,7 @@
 #include "loop.h"
 #include "settings.h"
 #include "state.h"
-#include "succession.h"
+#include "failover.h"
 
 #include <glib.h>
 
@@ -93,7 +93,7 @@
 
 /** cfs_control_ordered() - the answer to an order */
 void cfs_control_ordered (struct cfs_control *control, const char *service,
-                          uint64_t fence, enum cfs_order_result result);
+                          uint64_t fence, enum cfs_promotion_result result);
 
 /** cfs_control_leads() - whether this host may answer for the group now */
 bool cfs_control_leads (const struct cfs_control *control, int64_t now);
--- a/src/process/control_fleet.c
+++ b/src/process/control_fleet.c
@@ -26,7 +26,7 @@
 void
 control_fleet_end (struct cfs_control *c)
 {
-  cfs_succession_free (c->fleet.succession);
+  cfs_failover_free (c->fleet.failover);
   free (c->fleet.orders);
   cfs_table_end (&c->fleet.beats);
 }
@@ -81,7 +81,7 @@
   Cfs__Command cmd = CFS__COMMAND__INIT;
   Cfs__Target m;
 
-  cfs_target_message (t, &m);
+  cfs_target_to_message (t, &m);
   cmd.body_case = CFS__COMMAND__BODY_TARGET;
   cmd.target = &m;
   cfs_log (CFS_NOTICE, PART,
@@ -128,8 +128,8 @@
   f->leading = ready;
   if (ready)
     drop_silent (c, now);
-  if (f->succession)
-    cfs_succession_tick (f->succession, ready, cfs_raft_commit (c->raft), now);
+  if (f->failover)
+    cfs_failover_tick (f->failover, ready, cfs_raft_commit (c->raft), now);
 }
 
 static uint64_t
@@ -158,7 +158,7 @@
   return cfs_leader_suspected (c->leader, target, cfs_now (), hosts);
 }
 
-static const struct cfs_succession_ops succession_ops
+static const struct cfs_failover_ops failover_ops
     = { propose_turn, order, suspected };
 
 void
@@ -168,15 +168,15 @@
   c->fleet.setup = *setup;
   cfs_leader_serve_documents (c->leader, setup->documents,
                               c->settings->document_lease_us);
-  c->fleet.succession = cfs_succession_new (&succession_ops, c, setup->targets,
-                                            &c->state, cfs_now);
+  c->fleet.failover = cfs_failover_new (&failover_ops, c, setup->targets,
+                                        &c->state, cfs_now);
 }
 
 void
 cfs_control_ordered (struct cfs_control *c, const char *service,
-                     uint64_t fence, enum cfs_order_result result)
+                     uint64_t fence, enum cfs_promotion_result result)
 {
-  cfs_succession_ordered (c->fleet.succession, service, fence, result);
+  cfs_failover_promotion_result (c->fleet.failover, service, fence, result);
 }
 
 bool
--- a/src/process/control_int.h
+++ b/src/process/control_int.h
@@ -41,7 +41,7 @@
   bool leading;
   int64_t led_since;
   struct cfs_control_fleet setup;
-  struct cfs_succession *succession;
+  struct cfs_failover_manager *failover;
 };
 
 /* A patch whose answer is not decided yet. */
--- a/src/process/core.c
+++ b/src/process/core.c
@@ -58,7 +58,7 @@
 
 static void
 ordered (void *ctx, const char *service, uint64_t fence,
-         enum cfs_order_result result)
+         enum cfs_promotion_result result)
 {
   cfs_control_ordered (((struct core *)ctx)->control, service, fence, result);
 }
--- a/src/process/succession.c
+++ b/src/process/failover.c
@@ -6,7 +6,7 @@
  * survive: a new leader finds the open change in the replicated state and
  * starts it over with a higher token.
  */
-#include "succession_int.h"
+#include "failover_int.h"
 
 #include "log.h"
 
@@ -38,12 +38,12 @@
 #define SUSPECT_PART 0.25
 #define SUSPECT_ALONE_PART 0.25
 
-struct cfs_succession *
-cfs_succession_new (const struct cfs_succession_ops *ops, void *ctx,
-                    const struct cfs_target_adapter *edge,
-                    const struct cfs_state *state, int64_t (*clock) (void))
+struct cfs_failover_manager *
+cfs_failover_new (const struct cfs_failover_ops *ops, void *ctx,
+                  const struct cfs_target_adapter *edge,
+                  const struct cfs_state *state, int64_t (*clock) (void))
 {
-  struct cfs_succession *s = cfs_alloc (sizeof *s);
+  struct cfs_failover_manager *s = cfs_alloc (sizeof *s);
 
   s->ops = ops;
   s->ctx = ctx;
@@ -54,24 +54,24 @@
 }
 
 void
-cfs_succession_free (struct cfs_succession *s)
+cfs_failover_free (struct cfs_failover_manager *s)
 {
   if (!s)
     return;
   for (size_t i = 0; i < s->count; i++)
     {
-      succession_close_probes (s->reigns[i]);
-      succession_close_probe (&s->reigns[i]->watch);
+      failover_close_probes (s->reigns[i]);
+      failover_close_probe (&s->reigns[i]->watch);
       free (s->reigns[i]);
     }
   free (s->reigns);
   free (s);
 }
 
-static struct reign *
-reign_of (struct cfs_succession *s, const char *service)
+static struct failover_state *
+reign_of (struct cfs_failover_manager *s, const char *service)
 {
-  struct reign *r;
+  struct failover_state *r;
 
   for (size_t i = 0; i < s->count; i++)
     if (strcmp (s->reigns[i]->service, service) == 0)
@@ -84,7 +84,8 @@
 }
 
 static const struct cfs_target *
-primary_of (const struct cfs_succession *s, const struct reign *r)
+primary_of (const struct cfs_failover_manager *s,
+            const struct failover_state *r)
 {
   return cfs_targets_primary (&s->state->targets, &s->state->turns,
                               r->service);
@@ -92,8 +93,9 @@
 
 /* Why the primary is to be replaced, or NULL. */
 static const char *
-reason_to_change (const struct cfs_succession *s, struct reign *r,
-                  const struct cfs_target *t, int64_t now)
+reason_to_change (const struct cfs_failover_manager *s,
+                  struct failover_state *r, const struct cfs_target *t,
+                  int64_t now)
 {
   size_t hosts = 0;
   size_t suspects;
@@ -126,7 +128,7 @@
 }
 
 static void
-enter (struct reign *r, enum phase phase, int64_t now)
+enter (struct failover_state *r, enum phase phase, int64_t now)
 {
   r->phase = phase;
   r->since = now;
@@ -134,11 +136,12 @@
 
 /* Puts a new token into the log; everything starts over from there. */
 static void
-open_turn (struct cfs_succession *s, struct reign *r, int64_t now)
+open_turn (struct cfs_failover_manager *s, struct failover_state *r,
+           int64_t now)
 {
   Cfs__Turn turn = CFS__TURN__INIT;
 
-  succession_close_probes (r);
+  failover_close_probes (r);
   r->chosen[0] = '\0';
   turn.service = r->service;
   turn.open = true;
@@ -149,7 +152,8 @@
 }
 
 static void
-close_turn (struct cfs_succession *s, struct reign *r, int64_t now)
+close_turn (struct cfs_failover_manager *s, struct failover_state *r,
+            int64_t now)
 {
   Cfs__Turn turn = CFS__TURN__INIT;
 
@@ -164,7 +168,8 @@
    there was a reason to replace that.  The log of the instance
    that stepped down is compared, too: it may be the only known copy. */
 static const struct probe *
-choose (const struct cfs_succession *s, const struct reign *r, int64_t now)
+choose (const struct cfs_failover_manager *s, const struct failover_state *r,
+        int64_t now)
 {
   const struct probe *best = NULL;
   bool best_stays = false;
@@ -191,7 +196,7 @@
 }
 
 static void
-send_order (struct cfs_succession *s, struct reign *r,
+send_order (struct cfs_failover_manager *s, struct failover_state *r,
             const struct probe *chosen, int64_t now)
 {
   cfs_copy (r->chosen, sizeof r->chosen, chosen->target);
@@ -217,7 +222,7 @@
 /* Another instance leads than this host thought: it stays.  An order that
    may still be carried out is overtaken by one for the same instance. */
 static void
-accept_leader (struct cfs_succession *s, struct reign *r,
+accept_leader (struct cfs_failover_manager *s, struct failover_state *r,
                const struct probe *leads, int64_t now)
 {
   if (r->ordered)
@@ -228,12 +233,12 @@
   cfs_log (CFS_NOTICE, PART, "service=%s target=%s leads already", r->service,
            leads->target);
   cfs_copy (r->chosen, sizeof r->chosen, leads->target);
-  succession_resume_replicas (r, now);
+  failover_resume_replicas (r, now);
   close_turn (s, r, now);
 }
 
 static void
-log_missing (const struct reign *r)
+log_missing (const struct failover_state *r)
 {
   for (size_t i = 0; i < r->probe_count; i++)
     if (*r->probes[i].target && !r->probes[i].read)
@@ -245,10 +250,11 @@
    When all but one are paused replicas, the one left out is the primary, or
    there is none: the paused ones then have every acknowledged commit. */
 static void
-run_pausing (struct cfs_succession *s, struct reign *r, int64_t now)
+run_pausing (struct cfs_failover_manager *s, struct failover_state *r,
+             int64_t now)
 {
   const struct cfs_target *primary = primary_of (s, r);
-  struct census c = succession_pause_instances (s, r, now);
+  struct probe_summary c = failover_poll_instances (s, r, now);
   bool other
       = c.leads && (!primary || strcmp (c.leads->target, primary->id) != 0);
 
@@ -273,13 +279,14 @@
     }
   cfs_log (CFS_NOTICE, PART, "service=%s change given up, target=%s leads",
            r->service, primary->id);
-  succession_resume_replicas (r, now);
+  failover_resume_replicas (r, now);
   close_turn (s, r, now);
 }
 
 /* An instance that answers as the primary steps down first. */
 static void
-begin_pausing (struct cfs_succession *s, struct reign *r, int64_t now)
+begin_pausing (struct cfs_failover_manager *s, struct failover_state *r,
+               int64_t now)
 {
   const struct cfs_target *primary = primary_of (s, r);
   bool answers = primary && r->watch.up && r->watch.read
@@ -293,8 +300,8 @@
 }
 
 static void
-run_opening (struct cfs_succession *s, struct reign *r, uint64_t committed,
-             int64_t now)
+run_opening (struct cfs_failover_manager *s, struct failover_state *r,
+             uint64_t committed, int64_t now)
 {
   if (committed >= r->index)
     begin_pausing (s, r, now);
@@ -303,12 +310,12 @@
 }
 
 static void
-run_closing (struct reign *r, uint64_t committed, int64_t now)
+run_closing (struct failover_state *r, uint64_t committed, int64_t now)
 {
-  if ((committed < r->index || succession_any_asking (r))
+  if ((committed < r->index || failover_query_pending (r))
       && now - r->since < COMMIT_MAX_US)
     return;
-  succession_close_probes (r);
+  failover_close_probes (r);
   r->ordered = false;
   r->retry_at = now + REST_US;
   enter (r, PHASE_STEADY, now);
@@ -318,18 +325,19 @@
    closed behind the resumption of the replicas: a leader that takes over
    before that goes through all of it again. */
 static void
-run_confirming (struct cfs_succession *s, struct reign *r, int64_t now)
+run_confirming (struct cfs_failover_manager *s, struct failover_state *r,
+                int64_t now)
 {
   const struct cfs_target *t = cfs_table_find (&s->state->targets, r->chosen);
 
   if (t)
-    succession_watch (s, r, t, now);
+    failover_watch_primary (s, r, t, now);
   if (t && r->watch.read && r->watch.status.primary)
     {
       cfs_log (CFS_NOTICE, PART,
                "service=%s target=%s leads, took_ms=%" PRId64, r->service,
                t->id, (now - r->started_at) / CFS_US_PER_MS);
-      succession_resume_replicas (r, now);
+      failover_resume_replicas (r, now);
       close_turn (s, r, now);
     }
   else if (now - r->since > CONFIRM_MAX_US)
@@ -337,15 +345,17 @@
 }
 
 static void
-run_steady (struct cfs_succession *s, struct reign *r, int64_t now)
+run_steady (struct cfs_failover_manager *s, struct failover_state *r,
+            int64_t now)
 {
-  const struct cfs_turn *turn = cfs_table_find (&s->state->turns, r->service);
+  const struct cfs_failover *turn
+      = cfs_table_find (&s->state->turns, r->service);
   const struct cfs_target *t = primary_of (s, r);
   const char *reason;
 
   if (t)
     {
-      succession_watch (s, r, t, now);
+      failover_watch_primary (s, r, t, now);
       r->leaderless_at = 0;
     }
   else if (!r->leaderless_at)
@@ -364,8 +374,8 @@
 }
 
 static void
-run_reign (struct cfs_succession *s, struct reign *r, uint64_t committed,
-           int64_t now)
+run_reign (struct cfs_failover_manager *s, struct failover_state *r,
+           uint64_t committed, int64_t now)
 {
   switch (r->phase)
     {
@@ -392,22 +402,22 @@
 }
 
 static void
-stop_leading (struct cfs_succession *s)
+stop_leading (struct cfs_failover_manager *s)
 {
   for (size_t i = 0; i < s->count; i++)
     {
-      struct reign *r = s->reigns[i];
+      struct failover_state *r = s->reigns[i];
 
-      succession_close_probes (r);
-      succession_close_probe (&r->watch);
+      failover_close_probes (r);
+      failover_close_probe (&r->watch);
       memset (&r->watch, 0, sizeof r->watch);
       r->phase = PHASE_STEADY;
     }
 }
 
 void
-cfs_succession_tick (struct cfs_succession *s, bool leads, uint64_t committed,
-                     int64_t now)
+cfs_failover_tick (struct cfs_failover_manager *s, bool leads,
+                   uint64_t committed, int64_t now)
 {
   if (leads && !s->leads)
     s->led_since = now;
@@ -428,10 +438,11 @@
 }
 
 void
-cfs_succession_ordered (struct cfs_succession *s, const char *service,
-                        uint64_t fence, enum cfs_order_result result)
+cfs_failover_promotion_result (struct cfs_failover_manager *s,
+                               const char *service, uint64_t fence,
+                               enum cfs_promotion_result result)
 {
-  struct reign *r = reign_of (s, service);
+  struct failover_state *r = reign_of (s, service);
   int64_t now = s->clock ();
 
   cfs_log (CFS_NOTICE, PART,
@@ -441,7 +452,7 @@
            (now - r->started_at) / CFS_US_PER_MS);
   if (!s->leads || r->phase != PHASE_ORDERING || r->fence != fence)
     return;
-  if (result != ORDER_ACCEPTED)
+  if (result != PROMOTION_ACCEPTED)
     {
       open_turn (s, r, now);
       return;
--- a/src/process/succession.h
+++ b/src/process/failover.h
@@ -12,34 +12,34 @@
  * log before.  An order without an answer may still be carried out, so it is
  * followed by another with a higher token until one is accepted.
  */
-#ifndef CFS_SUCCESSION_H
-#define CFS_SUCCESSION_H
+#ifndef CFS_FAILOVER_H
+#define CFS_FAILOVER_H
 
 #include "../connection/adapter.h"
 #include "state.h"
 
-struct cfs_succession;
+struct cfs_failover_manager;
 
 /**
- * enum cfs_order_result - answer to an order
- * @ORDER_ACCEPTED: carried out
- * @ORDER_REJECTED: certainly not carried out
- * @ORDER_UNCLEAR: it may be carried out later
+ * enum cfs_promotion_result - answer to an order
+ * @PROMOTION_ACCEPTED: carried out
+ * @PROMOTION_REJECTED: certainly not carried out
+ * @PROMOTION_UNKNOWN: it may be carried out later
  */
-enum cfs_order_result
+enum cfs_promotion_result
 {
-  ORDER_ACCEPTED,
-  ORDER_REJECTED,
-  ORDER_UNCLEAR
+  PROMOTION_ACCEPTED,
+  PROMOTION_REJECTED,
+  PROMOTION_UNKNOWN
 };
 
 /**
- * struct cfs_succession_ops - effects
+ * struct cfs_failover_ops - effects
  * @propose: appends a change of primary to the log; gives its index or 0
- * @order: orders an instance to lead; cfs_succession_ordered() follows
+ * @order: orders an instance to lead; cfs_failover_promotion_result() follows
  * @suspected: number of hosts that cannot reach a target, of @hosts alive
  */
-struct cfs_succession_ops
+struct cfs_failover_ops
 {
   uint64_t (*propose) (void *ctx, const Cfs__Turn *turn);
   void (*order) (void *ctx, const char *service, const char *target,
@@ -48,30 +48,30 @@
 };
 
 /**
- * cfs_succession_new() - watches nothing until it leads
+ * cfs_failover_new() - watches nothing until it leads
  * @edge: makes connections to instances; all must outlive it
  *
- * Return: freed by cfs_succession_free().
+ * Return: freed by cfs_failover_free().
  */
-struct cfs_succession *
-cfs_succession_new (const struct cfs_succession_ops *ops, void *ctx,
-                    const struct cfs_target_adapter *edge,
-                    const struct cfs_state *state, int64_t (*clock) (void));
+struct cfs_failover_manager *
+cfs_failover_new (const struct cfs_failover_ops *ops, void *ctx,
+                  const struct cfs_target_adapter *edge,
+                  const struct cfs_state *state, int64_t (*clock) (void));
 
-/** cfs_succession_free() - closes all connections */
-void cfs_succession_free (struct cfs_succession *succession);
+/** cfs_failover_free() - closes all connections */
+void cfs_failover_free (struct cfs_failover_manager *failover);
 
 /**
- * cfs_succession_tick() - at least every 20 ms
+ * cfs_failover_tick() - at least every 20 ms
  * @leads: whether this host leads with a confirmed majority
  * @committed: log index up to which the state is applied
  */
-void cfs_succession_tick (struct cfs_succession *succession, bool leads,
-                          uint64_t committed, int64_t now);
+void cfs_failover_tick (struct cfs_failover_manager *failover, bool leads,
+                        uint64_t committed, int64_t now);
 
-/** cfs_succession_ordered() - the answer to an order */
-void cfs_succession_ordered (struct cfs_succession *succession,
-                             const char *service, uint64_t fence,
-                             enum cfs_order_result result);
+/** cfs_failover_promotion_result() - the answer to an order */
+void cfs_failover_promotion_result (struct cfs_failover_manager *failover,
+                                    const char *service, uint64_t fence,
+                                    enum cfs_promotion_result result);
 
 #endif
--- a/src/process/succession_int.h
+++ b/src/process/failover_int.h
@@ -1,11 +1,11 @@
 /**
- * DOC: Private parts of changes of primary, shared by succession.c and
+ * DOC: Private parts of changes of primary, shared by failover.c and
  * succession_probe.c.
  */
-#ifndef CFS_SUCCESSION_INT_H
-#define CFS_SUCCESSION_INT_H
+#ifndef CFS_FAILOVER_INT_H
+#define CFS_FAILOVER_INT_H
 
-#include "succession.h"
+#include "failover.h"
 
 /* A primary that gave no answer for this time is suspected. */
 #define SILENT_US (1100 * CFS_US_PER_MS)
@@ -32,7 +32,7 @@
 /* A connection to one instance with at most one question under way. */
 struct probe
 {
-  struct cfs_succession *owner;
+  struct cfs_failover_manager *owner;
   char target[CFS_NAME_MAX];
   uint64_t born;
   struct cfs_target_conn *wire;
@@ -50,7 +50,7 @@
   enum cfs_verb verb;
 };
 
-struct reign
+struct failover_state
 {
   char service[CFS_NAME_MAX];
   enum phase phase;
@@ -72,14 +72,14 @@
   int64_t retry_at;
 };
 
-struct cfs_succession
+struct cfs_failover_manager
 {
-  const struct cfs_succession_ops *ops;
+  const struct cfs_failover_ops *ops;
   void *ctx;
   const struct cfs_target_adapter *edge;
   const struct cfs_state *state;
   int64_t (*clock) (void);
-  struct reign **reigns;
+  struct failover_state **reigns;
   size_t count;
   size_t cap;
   bool leads;
@@ -87,7 +87,7 @@
 };
 
 /* What the instances said so far. */
-struct census
+struct probe_summary
 {
   size_t known;
   size_t paused;
@@ -95,26 +95,30 @@
   struct probe *leads;
 };
 
-/** succession_close_probe() - ends a connection; what it heard is kept */
-void succession_close_probe (struct probe *probe);
+/** failover_close_probe() - ends a connection; what it heard is kept */
+void failover_close_probe (struct probe *probe);
 
-/** succession_close_probes() - ends all connections of a change */
-void succession_close_probes (struct reign *reign);
+/** failover_close_probes() - ends all connections of a change */
+void failover_close_probes (struct failover_state *failover_state);
 
-/** succession_watch() - asks an instance whether it leads, notes its answers
+/** failover_watch_primary() - asks an instance whether it leads, notes its
+ * answers
  */
-void succession_watch (struct cfs_succession *succession, struct reign *reign,
-                       const struct cfs_target *target, int64_t now);
+void failover_watch_primary (struct cfs_failover_manager *failover,
+                             struct failover_state *failover_state,
+                             const struct cfs_target *target, int64_t now);
 
-/** succession_pause_instances() - drives the questions to all instances and
+/** failover_poll_instances() - drives the questions to all instances and
  * counts their answers */
-struct census succession_pause_instances (struct cfs_succession *succession,
-                                          struct reign *reign, int64_t now);
+struct probe_summary
+failover_poll_instances (struct cfs_failover_manager *failover,
+                         struct failover_state *failover_state, int64_t now);
 
-/** succession_resume_replicas() - lets paused replicas receive again */
-void succession_resume_replicas (struct reign *reign, int64_t now);
+/** failover_resume_replicas() - lets paused replicas receive again */
+void failover_resume_replicas (struct failover_state *failover_state,
+                               int64_t now);
 
-/** succession_any_asking() - whether an answer is due */
-bool succession_any_asking (const struct reign *reign);
+/** failover_query_pending() - whether an answer is due */
+bool failover_query_pending (const struct failover_state *failover_state);
 
 #endif
--- a/src/process/succession_probe.c
+++ b/src/process/failover_probe.c
@@ -2,7 +2,7 @@
  * Questions to instances during a change of primary, and to a primary that
  * is watched.  A connection has at most one question under way.
  */
-#include "succession_int.h"
+#include "failover_int.h"
 
 #include <string.h>
 
@@ -14,7 +14,7 @@
 #define TEAM "control"
 
 void
-succession_close_probe (struct probe *p)
+failover_close_probe (struct probe *p)
 {
   if (p->wire)
     p->wire->ops->close (p->wire);
@@ -24,10 +24,10 @@
 }
 
 void
-succession_close_probes (struct reign *r)
+failover_close_probes (struct failover_state *r)
 {
   for (size_t i = 0; i < r->probe_count; i++)
-    succession_close_probe (&r->probes[i]);
+    failover_close_probe (&r->probes[i]);
   r->probe_count = 0;
 }
 
@@ -50,7 +50,7 @@
 
   if (r->code != REPLY_OK)
     {
-      succession_close_probe (p);
+      failover_close_probe (p);
       p->retry_at = now + RETRY_US;
       return;
     }
@@ -111,7 +111,7 @@
     = { on_opened, on_replied, on_lost };
 
 static void
-open_probe (struct cfs_succession *s, struct probe *p,
+open_probe (struct cfs_failover_manager *s, struct probe *p,
             const struct cfs_target *t, int64_t now)
 {
   struct cfs_target_conn_setup setup = { .address = t->address,
@@ -134,22 +134,23 @@
 
 /* Asks the primary whether it leads, and notes its answers. */
 void
-succession_watch (struct cfs_succession *s, struct reign *r,
-                  const struct cfs_target *t, int64_t now)
+failover_watch_primary (struct cfs_failover_manager *s,
+                        struct failover_state *r, const struct cfs_target *t,
+                        int64_t now)
 {
   struct probe *p = &r->watch;
   struct cfs_statement begin = { .verb = VERB_BEGIN };
 
   if (strcmp (p->target, t->id) != 0 || p->born != t->born)
     {
-      succession_close_probe (p);
+      failover_close_probe (p);
       memset (p, 0, sizeof *p);
       p->answered_at = now;
       r->denied_at = 0;
     }
   if (p->wire && (p->asking || !p->up) && now - p->asked_at > SILENT_US)
     {
-      succession_close_probe (p);
+      failover_close_probe (p);
       p->retry_at = now;
     }
   open_probe (s, p, t, now);
@@ -164,7 +165,7 @@
 }
 
 static struct probe *
-find_probe (struct reign *r, const char *target)
+find_probe (struct failover_state *r, const char *target)
 {
   for (size_t i = 0; i < r->probe_count; i++)
     if (strcmp (r->probes[i].target, target) == 0)
@@ -175,7 +176,7 @@
 /* The connection refers to its row, so rows are never moved; a row whose
    instance is gone stays unused. */
 static void
-drop_gone (struct cfs_succession *s, struct reign *r)
+drop_gone (struct cfs_failover_manager *s, struct failover_state *r)
 {
   for (size_t i = 0; i < r->probe_count; i++)
     {
@@ -185,13 +186,13 @@
 
       if (t && !t->gone && t->born == p->born)
         continue;
-      succession_close_probe (p);
+      failover_close_probe (p);
       memset (p, 0, sizeof *p);
     }
 }
 
 static struct probe *
-add_probe (struct reign *r)
+add_probe (struct failover_state *r)
 {
   struct probe *p = find_probe (r, "");
 
@@ -206,7 +207,7 @@
    the one that is taken for the primary: an earlier order may have made
    another lead without this host's knowledge. */
 static void
-find_instances (struct cfs_succession *s, struct reign *r)
+find_instances (struct cfs_failover_manager *s, struct failover_state *r)
 {
   const struct cfs_table *targets = &s->state->targets;
 
@@ -233,8 +234,8 @@
    instance that is not known yet.  One that has answered is asked again from
    time to time, because an earlier order may have made it lead since. */
 static void
-ask_instance (struct cfs_succession *s, struct reign *r, struct probe *p,
-              int64_t now)
+ask_instance (struct cfs_failover_manager *s, struct failover_state *r,
+              struct probe *p, int64_t now)
 {
   struct cfs_statement demote
       = { .verb = VERB_DEMOTE, .term = r->newest_term + 1 };
@@ -254,11 +255,11 @@
 }
 
 /* Drives the questions to the instances and counts their answers. */
-struct census
-succession_pause_instances (struct cfs_succession *s, struct reign *r,
-                            int64_t now)
+struct probe_summary
+failover_poll_instances (struct cfs_failover_manager *s,
+                         struct failover_state *r, int64_t now)
 {
-  struct census c = { 0, 0, false, NULL };
+  struct probe_summary c = { 0, 0, false, NULL };
 
   find_instances (s, r);
   for (size_t i = 0; i < r->probe_count; i++)
@@ -286,7 +287,7 @@
 
 /* Lets replicas receive again; the connections close behind it. */
 void
-succession_resume_replicas (struct reign *r, int64_t now)
+failover_resume_replicas (struct failover_state *r, int64_t now)
 {
   struct cfs_statement resume = { .verb = VERB_RESUME };
 
@@ -296,7 +297,7 @@
 }
 
 bool
-succession_any_asking (const struct reign *r)
+failover_query_pending (const struct failover_state *r)
 {
   for (size_t i = 0; i < r->probe_count; i++)
     if (r->probes[i].up && r->probes[i].asking)
--- a/src/process/fleet.c
+++ b/src/process/fleet.c
@@ -19,7 +19,7 @@
   f->settings = settings;
   f->edge = edge;
   cfs_table_init (&f->targets, sizeof (struct cfs_target));
-  cfs_table_init (&f->turns, sizeof (struct cfs_turn));
+  cfs_table_init (&f->turns, sizeof (struct cfs_failover));
 }
 
 void
@@ -66,7 +66,7 @@
 
       if (in->changed <= t->changed)
         continue;
-      cfs_target_load (t, in);
+      cfs_target_from_message (t, in);
       cfs_log (CFS_INFO, PART,
                "target=%s service=%s primary=%d draining=%d gone=%d "
                "born=%" PRIu64 " index=%" PRIu64,
@@ -74,8 +74,8 @@
                t->changed);
     }
   for (size_t i = 0; i < r->n_turns; i++)
-    cfs_turn_load (cfs_table_add (&f->turns, r->turns[i]->service),
-                   r->turns[i]);
+    cfs_failover_from_message (cfs_table_add (&f->turns, r->turns[i]->service),
+                               r->turns[i]);
 }
 
 bool
--- a/src/process/leader_reply.c
+++ b/src/process/leader_reply.c
@@ -160,7 +160,7 @@
 
       if (t->changed <= have)
         continue;
-      cfs_target_message (t, &rows->targets[n]);
+      cfs_target_to_message (t, &rows->targets[n]);
       rows->target_list[n] = &rows->targets[n];
       rows->msg.n_targets++;
     }
@@ -177,12 +177,12 @@
            sizeof *rows->turns);
   for (size_t i = 0; i < s->turns.count; i++)
     {
-      const struct cfs_turn *t = cfs_table_at (&s->turns, i);
+      const struct cfs_failover *t = cfs_table_at (&s->turns, i);
       size_t n = rows->msg.n_turns;
 
       if (t->changed <= have)
         continue;
-      cfs_turn_message (t, &rows->turns[n]);
+      cfs_failover_to_message (t, &rows->turns[n]);
       rows->turn_list[n] = &rows->turns[n];
       rows->msg.n_turns++;
     }
--- a/src/process/state.c
+++ b/src/process/state.c
@@ -214,7 +214,7 @@
   cfs_table_init (&s->leases, sizeof (struct cfs_lease));
   cfs_table_init (&s->groups, sizeof (struct cfs_group));
   cfs_table_init (&s->targets, sizeof (struct cfs_target));
-  cfs_table_init (&s->turns, sizeof (struct cfs_turn));
+  cfs_table_init (&s->turns, sizeof (struct cfs_failover));
   cfs_table_init (&s->hosts, sizeof (struct cfs_host_record));
 }
 
@@ -268,7 +268,7 @@
       apply_host (s, c->host);
       break;
     case CFS__COMMAND__BODY_TURN:
-      if (cfs_turns_apply (&s->turns, c->turn, index))
+      if (cfs_failovers_apply (&s->turns, c->turn, index))
         s->directory = index;
       break;
     default:
@@ -444,12 +444,12 @@
     }
   for (size_t i = 0; i < s->targets.count; i++)
     {
-      cfs_target_message (cfs_table_at (&s->targets, i), &im->targets[i]);
+      cfs_target_to_message (cfs_table_at (&s->targets, i), &im->targets[i]);
       im->target_list[i] = &im->targets[i];
     }
   for (size_t i = 0; i < s->turns.count; i++)
     {
-      cfs_turn_message (cfs_table_at (&s->turns, i), &im->turns[i]);
+      cfs_failover_to_message (cfs_table_at (&s->turns, i), &im->turns[i]);
       im->turn_list[i] = &im->turns[i];
     }
   for (size_t i = 0; i < s->hosts.count; i++)
@@ -528,11 +528,11 @@
     cfs_group_load (cfs_table_add (&s->groups, m->groups[i]->name),
                     m->groups[i]);
   for (size_t i = 0; i < m->n_targets; i++)
-    cfs_target_load (cfs_table_add (&s->targets, m->targets[i]->id),
-                     m->targets[i]);
+    cfs_target_from_message (cfs_table_add (&s->targets, m->targets[i]->id),
+                             m->targets[i]);
   for (size_t i = 0; i < m->n_turns; i++)
-    cfs_turn_load (cfs_table_add (&s->turns, m->turns[i]->service),
-                   m->turns[i]);
+    cfs_failover_from_message (cfs_table_add (&s->turns, m->turns[i]->service),
+                               m->turns[i]);
   for (size_t i = 0; i < m->n_hosts; i++)
     cfs_table_add (&s->hosts, m->hosts[i]);
   cfs__snapshot__free_unpacked (m, NULL);
--- a/src/process/targets.c
+++ b/src/process/targets.c
@@ -18,7 +18,7 @@
 }
 
 void
-cfs_target_message (const struct cfs_target *t, Cfs__Target *out)
+cfs_target_to_message (const struct cfs_target *t, Cfs__Target *out)
 {
   cfs__target__init (out);
   out->id = (char *)t->id;
@@ -36,7 +36,7 @@
 }
 
 void
-cfs_target_load (struct cfs_target *t, const Cfs__Target *in)
+cfs_target_from_message (struct cfs_target *t, const Cfs__Target *in)
 {
   cfs_copy (t->service, sizeof t->service, in->service);
   cfs_copy (t->address, sizeof t->address, in->address);
@@ -52,7 +52,7 @@
 }
 
 void
-cfs_turn_message (const struct cfs_turn *t, Cfs__Turn *out)
+cfs_failover_to_message (const struct cfs_failover *t, Cfs__Turn *out)
 {
   cfs__turn__init (out);
   out->service = (char *)t->service;
@@ -63,7 +63,7 @@
 }
 
 void
-cfs_turn_load (struct cfs_turn *t, const Cfs__Turn *in)
+cfs_failover_from_message (struct cfs_failover *t, const Cfs__Turn *in)
 {
   t->open = in->open;
   cfs_copy (t->target, sizeof t->target, in->target);
@@ -102,7 +102,7 @@
     t = cfs_table_add (targets, in->id);
   if (in->primary)
     claimed = t->primary && t->born == in->born ? t->claimed : index;
-  cfs_target_load (t, in);
+  cfs_target_from_message (t, in);
   t->changed = index;
   t->claimed = claimed;
   if (!in->gone)
@@ -111,9 +111,10 @@
 }
 
 bool
-cfs_turns_apply (struct cfs_table *turns, const Cfs__Turn *in, uint64_t index)
+cfs_failovers_apply (struct cfs_table *turns, const Cfs__Turn *in,
+                     uint64_t index)
 {
-  struct cfs_turn *t;
+  struct cfs_failover *t;
 
   if (!*in->service)
     return false;
@@ -133,7 +134,7 @@
 cfs_targets_primary (const struct cfs_table *targets,
                      const struct cfs_table *turns, const char *service)
 {
-  const struct cfs_turn *turn = cfs_table_find (turns, service);
+  const struct cfs_failover *turn = cfs_table_find (turns, service);
   const struct cfs_target *best = NULL;
   uint64_t best_at = 0;
 
--- a/src/process/targets.h
+++ b/src/process/targets.h
@@ -44,14 +44,14 @@
 };
 
 /**
- * struct cfs_turn - the last change of a service's primary
+ * struct cfs_failover - the last change of a service's primary
  * @service: name of the group
  * @open: the change may still be under way
  * @target: the instance that leads once it is closed, "" before
  * @fence: fencing token: log index at which it was opened
  * @changed: log index of the last change
  */
-struct cfs_turn
+struct cfs_failover
 {
   char service[CFS_NAME_MAX];
   bool open;
@@ -64,17 +64,21 @@
 bool cfs_target_is_newer (const struct cfs_target *row, uint64_t born,
                           uint64_t sequence);
 
-/** cfs_target_message() - fills a message with pointers into @target */
-void cfs_target_message (const struct cfs_target *target, Cfs__Target *out);
+/** cfs_target_to_message() - fills a message with pointers into @target */
+void cfs_target_to_message (const struct cfs_target *target, Cfs__Target *out);
 
-/** cfs_target_load() - copies a message into a row, except for the id */
-void cfs_target_load (struct cfs_target *target, const Cfs__Target *in);
+/** cfs_target_from_message() - copies a message into a row, except for the id
+ */
+void cfs_target_from_message (struct cfs_target *target,
+                              const Cfs__Target *in);
 
-/** cfs_turn_message() - fills a message with pointers into @turn */
-void cfs_turn_message (const struct cfs_turn *turn, Cfs__Turn *out);
+/** cfs_failover_to_message() - fills a message with pointers into @turn */
+void cfs_failover_to_message (const struct cfs_failover *turn, Cfs__Turn *out);
 
-/** cfs_turn_load() - copies a message into a row, except for the service */
-void cfs_turn_load (struct cfs_turn *turn, const Cfs__Turn *in);
+/** cfs_failover_from_message() - copies a message into a row, except for the
+ * service */
+void cfs_failover_from_message (struct cfs_failover *turn,
+                                const Cfs__Turn *in);
 
 /**
  * cfs_targets_apply() - applies a committed report
@@ -89,20 +93,21 @@
                         uint64_t index);
 
 /**
- * cfs_turns_apply() - applies the opening or the end of a change of primary
- * @turns: table of struct cfs_turn
+ * cfs_failovers_apply() - applies the opening or the end of a change of
+ * primary
+ * @turns: table of struct cfs_failover
  * @in: an opening takes @index as its fence; an end must name the fence of
  * the opening that it ends
  *
  * Return: whether the table changed.
  */
-bool cfs_turns_apply (struct cfs_table *turns, const Cfs__Turn *in,
-                      uint64_t index);
+bool cfs_failovers_apply (struct cfs_table *turns, const Cfs__Turn *in,
+                          uint64_t index);
 
 /**
  * cfs_targets_primary() - the instance that leads a service, as far as known
  * @targets: table of struct cfs_target
- * @turns: table of struct cfs_turn
+ * @turns: table of struct cfs_failover
  * @service: name
  *
  * The newer of the last ended change and the last own claim counts.
--- a/tests/unit/succession_random.c
+++ b/tests/unit/failover_random.c
@@ -7,7 +7,7 @@
  */
 #include "../../src/process/log.h"
 #include "../world/seeds.h"
-#include "../world/succession.h"
+#include "../world/failover.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
--- a/tests/world/succession.c
+++ b/tests/world/failover.c
@@ -3,7 +3,7 @@
  * effect 300 ms later, or has no answer and is carried out seconds later if
  * its token is still the highest.
  */
-#include "succession.h"
+#include "failover.h"
 
 #include <stdio.h>
 #include <stdlib.h>
@@ -77,7 +77,7 @@
   bool faults;
   struct cfs_state state;
   struct cfs_target_adapter edge;
-  struct cfs_succession *succession;
+  struct cfs_failover_manager *failover;
   struct fake_wire *wires;
   struct instance instances[INSTANCES];
   struct order orders[ORDERS_MAX];
@@ -298,8 +298,8 @@
           o->answered = true;
           o->at = world->now + 2 * CFS_US_PER_S
                   + (int64_t)draw (8000) * CFS_US_PER_MS;
-          cfs_succession_ordered (world->succession, service, fence,
-                                  ORDER_UNCLEAR);
+          cfs_failover_promotion_result (world->failover, service, fence,
+                                         PROMOTION_UNKNOWN);
         }
       return;
     }
@@ -315,7 +315,7 @@
   return !in->alive || in->cut || in->suspect ? 3 : 0;
 }
 
-static const struct cfs_succession_ops ops = { propose, order, suspected };
+static const struct cfs_failover_ops ops = { propose, order, suspected };
 
 static void
 take_lead (int i)
@@ -345,13 +345,13 @@
 static void
 step_order (struct order *o)
 {
-  enum cfs_order_result result = ORDER_ACCEPTED;
+  enum cfs_promotion_result result = PROMOTION_ACCEPTED;
 
   if (!o->pending || world->now < o->at)
     return;
   o->pending = false;
   if (o->fence < world->fence || !world->instances[o->target].alive)
-    result = ORDER_REJECTED;
+    result = PROMOTION_REJECTED;
   else
     {
       world->fence = o->fence;
@@ -362,7 +362,7 @@
         }
     }
   if (!o->answered)
-    cfs_succession_ordered (world->succession, SERVICE, o->fence, result);
+    cfs_failover_promotion_result (world->failover, SERVICE, o->fence, result);
 }
 
 static void
@@ -372,7 +372,7 @@
     return;
   p->pending = false;
   world->committed = p->index;
-  cfs_turns_apply (&world->state.turns, &p->turn, p->index);
+  cfs_failovers_apply (&world->state.turns, &p->turn, p->index);
 }
 
 /* The primary writes, replicas receive, one replica is enough for an
@@ -402,14 +402,14 @@
 static void
 start_leader (void)
 {
-  world->succession = cfs_succession_new (&ops, NULL, &world->edge,
-                                          &world->state, world_clock);
+  world->failover = cfs_failover_new (&ops, NULL, &world->edge, &world->state,
+                                      world_clock);
 }
 
 static void
 change_leader (void)
 {
-  cfs_succession_free (world->succession);
+  cfs_failover_free (world->failover);
   start_leader ();
 }
 
@@ -489,7 +489,7 @@
   for (struct fake_wire *k = world->wires; k; k = k->next)
     step_wire (k);
   sweep_wires ();
-  cfs_succession_tick (world->succession, true, world->committed, world->now);
+  cfs_failover_tick (world->failover, true, world->committed, world->now);
   sweep_wires ();
   if (world->faults)
     draw_fault ();
@@ -538,7 +538,7 @@
 void
 wsu_end (void)
 {
-  cfs_succession_free (world->succession);
+  cfs_failover_free (world->failover);
   for (struct fake_wire *k = world->wires; k; k = k->next)
     k->dead = true;
   sweep_wires ();
--- a/tests/world/succession.h
+++ b/tests/world/failover.h
@@ -2,10 +2,10 @@
  * DOC: A group of three instances, orders and a replicated state in virtual
  * time, around the real changes of primary.
  */
-#ifndef WORLD_SUCCESSION_H
-#define WORLD_SUCCESSION_H
+#ifndef WORLD_FAILOVER_H
+#define WORLD_FAILOVER_H
 
-#include "../../src/process/succession.h"
+#include "../../src/process/failover.h"
 
 /**
  * wsu_run_seed() - faults drawn from a seed, then a calm time
--- a/tests/world/sessions.c
+++ b/tests/world/sessions.c
@@ -161,7 +161,7 @@
 tell_fleet (struct world_sessions *w)
 {
   const struct ws_instance *p = primary_of (w);
-  struct cfs_turn *turn;
+  struct cfs_failover *turn;
 
   if (!w->told_at || w->now < w->told_at || !p)
     return;
