--- a/src/connection/pool_target.c
+++ b/src/connection/pool_target.c
@@ -123,7 +123,7 @@
                      int64_t now)
 {
   const struct target_state *s = cfs_table_find (&p->states, t->id);
-  int64_t base = cfs_fleet_is_near (p->fleet, t->zone)
+  int64_t base = cfs_fleet_in_region (p->fleet, t->zone)
                      ? LATENCY_SAME_REGION_US
                      : LATENCY_OTHER_REGION_US;
   unsigned slots = t->slots ? t->slots : 1;
--- a/src/process/control.c
+++ b/src/process/control.c
@@ -452,7 +452,7 @@
 }
 
 uint64_t
-cfs_control_genesis (const char *host)
+cfs_control_bootstrap_id (const char *host)
 {
   return cfs_hash (host, strlen (host), 7) | 1;
 }
@@ -463,7 +463,7 @@
   m->count = s->control_count;
   for (size_t i = 0; i < s->control_count; i++)
     {
-      m->at[i].id = cfs_control_genesis (s->control[i].host);
+      m->at[i].id = cfs_control_bootstrap_id (s->control[i].host);
       m->at[i].voter = true;
       cfs_copy (m->at[i].host, CFS_NAME_MAX, s->control[i].host);
     }
@@ -475,7 +475,7 @@
   struct cfs_members members = { .count = 0 };
 
   genesis_members (s, &members);
-  return cfs_disk_format (s->data_folder, cfs_control_genesis (s->host),
+  return cfs_disk_format (s->data_folder, cfs_control_bootstrap_id (s->host),
                           &members, error);
 }
 
--- a/src/process/control.h
+++ b/src/process/control.h
@@ -62,8 +62,9 @@
 /** cfs_control_pump() - handles what has arrived, before each wait */
 void cfs_control_pump (struct cfs_control *control);
 
-/** cfs_control_genesis() - identity of a host when a group is first formed */
-uint64_t cfs_control_genesis (const char *host);
+/** cfs_control_bootstrap_id() - identity of a host when a group is first
+ * formed */
+uint64_t cfs_control_bootstrap_id (const char *host);
 
 /**
  * cfs_control_format() - prepares the data folder of a first member
@@ -73,14 +74,15 @@
 bool cfs_control_format (const struct cfs_settings *settings, GError **error);
 
 /**
- * struct cfs_control_fleet - what a control host of sessions needs besides
+ * struct cfs_control_fleet_setup - what a control host of sessions needs
+ * besides
  * @documents: decodes operators' documents
  * @targets: makes connections to instances
- * @order: orders an instance to lead; cfs_control_ordered() follows
+ * @order: orders an instance to lead; cfs_control_promotion_result() follows
  */
-struct cfs_control_fleet
+struct cfs_control_fleet_setup
 {
-  const struct cfs_document_edge *documents;
+  const struct cfs_document_decoder *documents;
   const struct cfs_target_adapter *targets;
   void (*order) (void *ctx, const char *service, const char *target,
                  uint64_t fence);
@@ -89,14 +91,15 @@
 
 /** cfs_control_serve_fleet() - whole documents, targets, their primaries */
 void cfs_control_serve_fleet (struct cfs_control *control,
-                              const struct cfs_control_fleet *setup);
+                              const struct cfs_control_fleet_setup *setup);
 
-/** cfs_control_ordered() - the answer to an order */
-void cfs_control_ordered (struct cfs_control *control, const char *service,
-                          uint64_t fence, enum cfs_promotion_result result);
+/** cfs_control_promotion_result() - the answer to an order */
+void cfs_control_promotion_result (struct cfs_control *control,
+                                   const char *service, uint64_t fence,
+                                   enum cfs_promotion_result result);
 
-/** cfs_control_leads() - whether this host may answer for the group now */
-bool cfs_control_leads (const struct cfs_control *control, int64_t now);
+/** cfs_control_is_leader() - whether this host may answer for the group now */
+bool cfs_control_is_leader (const struct cfs_control *control, int64_t now);
 
 /** cfs_control_leader() - name of the leader as far as known, or "" */
 const char *cfs_control_leader (const struct cfs_control *control);
@@ -121,25 +124,25 @@
                               int64_t now);
 
 /**
- * cfs_control_report() - takes what a target says of itself
+ * cfs_control_report_target() - takes what a target says of itself
  * @report: all fields but @changed
  * @ended: as above; called before the return when nothing changes
  *
  * Return: CFS_OK and @ended follows; CFS_BAD when a later incarnation is
  * known; CFS_NOT_LEADER or CFS_IO.
  */
-int cfs_control_report (struct cfs_control *control,
-                        const struct cfs_target *report,
-                        void (*ended) (void *tag, bool done), void *tag,
-                        int64_t now);
+int cfs_control_report_target (struct cfs_control *control,
+                               const struct cfs_target *report,
+                               void (*ended) (void *tag, bool done), void *tag,
+                               int64_t now);
 
 /**
- * cfs_control_target_left() - a target says that it is gone
+ * cfs_control_remove_target() - a target says that it is gone
  *
- * Return: as of cfs_control_report().
+ * Return: as of cfs_control_report_target().
  */
-int cfs_control_target_left (struct cfs_control *control, const char *id,
-                             void (*ended) (void *tag, bool done), void *tag,
-                             int64_t now);
+int cfs_control_remove_target (struct cfs_control *control, const char *id,
+                               void (*ended) (void *tag, bool done), void *tag,
+                               int64_t now);
 
 #endif
--- a/src/process/agent.c
+++ b/src/process/control_client.c
@@ -3,7 +3,7 @@
  * sent, by the clock of this host, so no clock is ever compared with
  * another one.  A version lower than the one held is never taken.
  */
-#include "agent.h"
+#include "control_client.h"
 
 #include "../version/conf.h"
 #include "control.h"
@@ -35,9 +35,9 @@
   bool refused;
 };
 
-struct cfs_agent
+struct cfs_control_client
 {
-  const struct cfs_agent_ops *ops;
+  const struct cfs_control_client_ops *ops;
   void *ctx;
   const struct cfs_settings *settings;
   struct cfs_net *net;
@@ -66,7 +66,7 @@
 };
 
 static void
-try_next_host (struct cfs_agent *a)
+try_next_host (struct cfs_control_client *a)
 {
   a->leader++;
   if (a->leader >= a->peer_count)
@@ -75,7 +75,7 @@
 
 /* Control hosts found by seeds are named by their IP number. */
 static void
-add_peer (struct cfs_agent *a, const char *name)
+add_peer (struct cfs_control_client *a, const char *name)
 {
   struct cfs_peer *p;
 
@@ -91,7 +91,7 @@
 }
 
 static void
-try_host (struct cfs_agent *a, const char *name)
+try_host (struct cfs_control_client *a, const char *name)
 {
   add_peer (a, name);
   for (size_t i = 0; i < a->peer_count; i++)
@@ -105,7 +105,7 @@
 
 /* The members replace what is known besides the seeds. */
 static void
-take_members (struct cfs_agent *a, const Cfs__HeartbeatReply *r)
+take_members (struct cfs_control_client *a, const Cfs__HeartbeatReply *r)
 {
   char leader[CFS_NAME_MAX];
 
@@ -122,7 +122,7 @@
 }
 
 static int
-send_to_leader (struct cfs_agent *a, const Cfs__Peer *msg)
+send_to_leader (struct cfs_control_client *a, const Cfs__Peer *msg)
 {
   const struct cfs_peer *p = &a->peers[a->leader];
 
@@ -130,7 +130,7 @@
 }
 
 static bool
-is_urgent (const struct cfs_agent *a)
+is_urgent (const struct cfs_control_client *a)
 {
   return a->report
          && (a->report->heartbeat->n_reports
@@ -138,7 +138,7 @@
 }
 
 static int64_t
-heartbeat_wait (const struct cfs_agent *a)
+heartbeat_wait (const struct cfs_control_client *a)
 {
   if (is_urgent (a))
     return HEARTBEAT_URGENT_US;
@@ -154,7 +154,7 @@
 }
 
 static void
-free_news (struct cfs_agent *a)
+free_news (struct cfs_control_client *a)
 {
   for (size_t i = 0; i < a->news_count; i++)
     cfs__peer__free_unpacked (a->news[i], NULL);
@@ -163,7 +163,7 @@
 
 /* All announced instances since the last heartbeat, as one list. */
 static Cfs__Instance **
-collect_news (const struct cfs_agent *a, size_t *count)
+collect_news (const struct cfs_control_client *a, size_t *count)
 {
   Cfs__Instance **list;
   size_t n = 0;
@@ -181,7 +181,7 @@
 /* One line when the control group stops answering, and one when it is back.
  */
 static void
-note_lost (struct cfs_agent *a, int64_t now)
+note_lost (struct cfs_control_client *a, int64_t now)
 {
   if (a->lost || now - a->heard_at < LOST_US)
     return;
@@ -192,7 +192,7 @@
 }
 
 static void
-note_heard (struct cfs_agent *a, int64_t now)
+note_heard (struct cfs_control_client *a, int64_t now)
 {
   if (a->lost)
     cfs_log (CFS_NOTICE, PART, "control group is back, leader=%s",
@@ -202,7 +202,7 @@
 }
 
 static void
-send_heartbeat (struct cfs_agent *a, int64_t now)
+send_heartbeat (struct cfs_control_client *a, int64_t now)
 {
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__Heartbeat h = CFS__HEARTBEAT__INIT;
@@ -257,7 +257,7 @@
 
 /* Brings the document to the reply's version.  Returns whether it could. */
 static bool
-take_versions (struct cfs_agent *a, Cfs__HeartbeatReply *r)
+take_versions (struct cfs_control_client *a, Cfs__HeartbeatReply *r)
 {
   if (r->version == a->version)
     return true;
@@ -289,7 +289,7 @@
 /* Where sessions are served the lease covers the configuration, which a
    reply of the leader confirms; else it covers gates and limiters. */
 static int64_t
-lease_end (const struct cfs_agent *a, const Cfs__HeartbeatReply *r)
+lease_end (const struct cfs_control_client *a, const Cfs__HeartbeatReply *r)
 {
   if (a->settings->by_seeds)
     return a->sent_at + a->settings->document_lease_us;
@@ -297,7 +297,7 @@
 }
 
 static void
-take_reply (struct cfs_agent *a, Cfs__HeartbeatReply *r, int64_t now)
+take_reply (struct cfs_control_client *a, Cfs__HeartbeatReply *r, int64_t now)
 {
   uint64_t had = a->version;
   char *sent = r->document;
@@ -332,14 +332,14 @@
 }
 
 static void
-drop_call (struct cfs_agent *a, size_t i)
+drop_call (struct cfs_control_client *a, size_t i)
 {
   cfs__peer__free_unpacked (a->calls[i].peer, NULL);
   a->calls[i] = a->calls[--a->call_count];
 }
 
 static void
-take_called (struct cfs_agent *a, Cfs__OperatorReply *r)
+take_called (struct cfs_control_client *a, Cfs__OperatorReply *r)
 {
   for (size_t i = 0; i < a->call_count; i++)
     {
@@ -361,7 +361,7 @@
 static void
 receive (void *ctx, const struct cfs_origin *from, const Cfs__Peer *msg)
 {
-  struct cfs_agent *a = ctx;
+  struct cfs_control_client *a = ctx;
 
   (void)from;
   if (msg->body_case == CFS__PEER__BODY_REPLY)
@@ -372,12 +372,12 @@
     a->ops->tokens (a->ctx, msg->tokens_grant);
 }
 
-struct cfs_agent *
-cfs_agent_new (const struct cfs_agent_ops *ops, void *ctx,
-               const struct cfs_settings *settings, uint64_t boot, void *zmq,
-               struct cfs_loop *loop)
+struct cfs_control_client *
+cfs_control_client_new (const struct cfs_control_client_ops *ops, void *ctx,
+                        const struct cfs_settings *settings, uint64_t boot,
+                        void *zmq, struct cfs_loop *loop)
 {
-  struct cfs_agent *a = cfs_alloc (sizeof *a);
+  struct cfs_control_client *a = cfs_alloc (sizeof *a);
   struct cfs_net_setup setup = { .zmq = zmq,
                                  .public_key = settings->curve_public,
                                  .secret_key = settings->curve_secret,
@@ -398,7 +398,7 @@
 }
 
 void
-cfs_agent_free (struct cfs_agent *a)
+cfs_control_client_free (struct cfs_control_client *a)
 {
   if (!a)
     return;
@@ -416,7 +416,7 @@
 }
 
 void
-cfs_agent_report (struct cfs_agent *a, Cfs__Peer *report)
+cfs_control_client_report (struct cfs_control_client *a, Cfs__Peer *report)
 {
   if (report->heartbeat->n_instances)
     {
@@ -439,7 +439,8 @@
 }
 
 void
-cfs_agent_call (struct cfs_agent *a, Cfs__Peer *call, int64_t now)
+cfs_control_client_forward (struct cfs_control_client *a, Cfs__Peer *call,
+                            int64_t now)
 {
   struct call *c;
 
@@ -451,7 +452,8 @@
 }
 
 void
-cfs_agent_ask (struct cfs_agent *a, const Cfs__Peer *ask)
+cfs_control_client_request_tokens (struct cfs_control_client *a,
+                                   const Cfs__Peer *ask)
 {
   send_to_leader (a, ask);
 }
@@ -468,14 +470,14 @@
 }
 
 static void
-tick_calls (struct cfs_agent *a, int64_t now)
+tick_calls (struct cfs_control_client *a, int64_t now)
 {
   for (size_t i = a->call_count; i > 0; i--)
     {
       struct call *c = &a->calls[i - 1];
       Cfs__OperatorReply late = CFS__OPERATOR_REPLY__INIT;
 
-      if (now - c->since > CALL_TIMEOUT_US)
+      if (now - c->since > OPERATOR_REQUEST_TIMEOUT_US)
         {
           late.id = c->peer->call->id;
           late.status = HTTP_UNAVAILABLE;
@@ -493,7 +495,7 @@
 }
 
 void
-cfs_agent_tick (struct cfs_agent *a, int64_t now)
+cfs_control_client_tick (struct cfs_control_client *a, int64_t now)
 {
   if (now >= a->next_at)
     send_heartbeat (a, now);
@@ -501,7 +503,7 @@
 }
 
 void
-cfs_agent_pump (struct cfs_agent *a)
+cfs_control_client_pump (struct cfs_control_client *a)
 {
   cfs_net_pump (a->net);
 }
--- a/src/process/control_fleet.c
+++ b/src/process/control_fleet.c
@@ -163,7 +163,7 @@
 
 void
 cfs_control_serve_fleet (struct cfs_control *c,
-                         const struct cfs_control_fleet *setup)
+                         const struct cfs_control_fleet_setup *setup)
 {
   c->fleet.setup = *setup;
   cfs_leader_serve_documents (c->leader, setup->documents,
@@ -173,14 +173,14 @@
 }
 
 void
-cfs_control_ordered (struct cfs_control *c, const char *service,
-                     uint64_t fence, enum cfs_promotion_result result)
+cfs_control_promotion_result (struct cfs_control *c, const char *service,
+                              uint64_t fence, enum cfs_promotion_result result)
 {
   cfs_failover_promotion_result (c->fleet.failover, service, fence, result);
 }
 
 bool
-cfs_control_leads (const struct cfs_control *c, int64_t now)
+cfs_control_is_leader (const struct cfs_control *c, int64_t now)
 {
   return cfs_raft_ready (c->raft, now);
 }
@@ -258,9 +258,10 @@
 }
 
 int
-cfs_control_report (struct cfs_control *c, const struct cfs_target *report,
-                    void (*ended) (void *tag, bool done), void *tag,
-                    int64_t now)
+cfs_control_report_target (struct cfs_control *c,
+                           const struct cfs_target *report,
+                           void (*ended) (void *tag, bool done), void *tag,
+                           int64_t now)
 {
   const struct cfs_target *row
       = cfs_table_find (&c->state.targets, report->id);
@@ -291,9 +292,9 @@
 }
 
 int
-cfs_control_target_left (struct cfs_control *c, const char *id,
-                         void (*ended) (void *tag, bool done), void *tag,
-                         int64_t now)
+cfs_control_remove_target (struct cfs_control *c, const char *id,
+                           void (*ended) (void *tag, bool done), void *tag,
+                           int64_t now)
 {
   const struct cfs_target *row = cfs_table_find (&c->state.targets, id);
   const struct beat *b = cfs_table_find (&c->fleet.beats, id);
--- a/src/process/control_int.h
+++ b/src/process/control_int.h
@@ -40,7 +40,7 @@
   struct cfs_table beats;
   bool leading;
   int64_t led_since;
-  struct cfs_control_fleet setup;
+  struct cfs_control_fleet_setup setup;
   struct cfs_failover_manager *failover;
 };
 
--- a/src/process/core.c
+++ b/src/process/core.c
@@ -60,13 +60,14 @@
 ordered (void *ctx, const char *service, uint64_t fence,
          enum cfs_promotion_result result)
 {
-  cfs_control_ordered (((struct core *)ctx)->control, service, fence, result);
+  cfs_control_promotion_result (((struct core *)ctx)->control, service, fence,
+                                result);
 }
 
 static void
 serve_fleet (struct core *c, const struct cfs_settings *settings)
 {
-  struct cfs_control_fleet setup
+  struct cfs_control_fleet_setup setup
       = { .documents = &document_edge, .order = order, .ctx = c };
 
   c->targets = instances_edge_new (c->loop);
--- a/src/process/fleet.c
+++ b/src/process/fleet.c
@@ -13,7 +13,7 @@
 
 void
 cfs_fleet_init (struct cfs_fleet *f, const struct cfs_settings *settings,
-                const struct cfs_document_edge *edge)
+                const struct cfs_document_decoder *edge)
 {
   memset (f, 0, sizeof *f);
   f->settings = settings;
@@ -105,7 +105,7 @@
 }
 
 bool
-cfs_fleet_is_near (const struct cfs_fleet *f, const char *zone)
+cfs_fleet_in_region (const struct cfs_fleet *f, const char *zone)
 {
   return strcmp (cfs_settings_region (f->settings, zone),
                  cfs_settings_region (f->settings, f->settings->zone))
--- a/src/process/fleet.h
+++ b/src/process/fleet.h
@@ -10,10 +10,10 @@
 #include "targets.h"
 
 /**
- * struct cfs_document_edge - how an operator's document is decoded
+ * struct cfs_document_decoder - how an operator's document is decoded
  * @read: gives a sealed catalog, or NULL with @error set
  */
-struct cfs_document_edge
+struct cfs_document_decoder
 {
   struct cfs_catalog *(*read) (const char *document, uint64_t version,
                                GError **error);
@@ -23,7 +23,7 @@
 struct cfs_fleet
 {
   const struct cfs_settings *settings;
-  const struct cfs_document_edge *edge;
+  const struct cfs_document_decoder *edge;
   struct cfs_catalog *catalog;
   struct cfs_table targets;
   struct cfs_table turns;
@@ -33,7 +33,7 @@
 /** cfs_fleet_init() - knows nothing yet and has no lease */
 void cfs_fleet_init (struct cfs_fleet *fleet,
                      const struct cfs_settings *settings,
-                     const struct cfs_document_edge *edge);
+                     const struct cfs_document_decoder *edge);
 
 /** cfs_fleet_end() - frees tables and configuration */
 void cfs_fleet_end (struct cfs_fleet *fleet);
@@ -55,7 +55,7 @@
 const struct cfs_target *cfs_fleet_target (const struct cfs_fleet *fleet,
                                            const char *id);
 
-/** cfs_fleet_is_near() - whether a zone is in this host's region */
-bool cfs_fleet_is_near (const struct cfs_fleet *fleet, const char *zone);
+/** cfs_fleet_in_region() - whether a zone is in this host's region */
+bool cfs_fleet_in_region (const struct cfs_fleet *fleet, const char *zone);
 
 #endif
--- a/src/process/leader.c
+++ b/src/process/leader.c
@@ -248,7 +248,7 @@
   l->assign_index = 0;
   l->grace_end = now + LEASE_WAIT_US;
   l->led_since = now;
-  cfs_shares_start (&l->shares, now + l->share_wait_us);
+  cfs_shares_reset (&l->shares, now + l->share_wait_us);
 }
 
 /* Records a host before it is given shares, and drops a silent one. */
@@ -497,7 +497,7 @@
   forget_silent (l, now);
   check_holders (l, now);
   if (holders_told (l, &idle_since))
-    cfs_shares_trust (&l->shares, idle_since, now);
+    cfs_shares_end_grace (&l->shares, idle_since, now);
   discover_groups (l, now);
   place_resources (l, now);
 }
@@ -545,12 +545,12 @@
 
 void
 cfs_leader_serve_documents (struct cfs_leader *l,
-                            const struct cfs_document_edge *edge,
+                            const struct cfs_document_decoder *edge,
                             int64_t lease_us)
 {
   l->edge = edge;
   l->share_wait_us
-      = lease_us < SHARE_LEASE_US ? lease_us + lease_us / 20 : SHARE_WAIT_US;
+      = lease_us < SHARE_LEASE_US ? lease_us + lease_us / 20 : SHARE_EXPIRY_US;
 }
 
 void
--- a/src/process/leader.h
+++ b/src/process/leader.h
@@ -137,7 +137,7 @@
  * @lease_us: how long a host acts on a version and on its shares
  */
 void cfs_leader_serve_documents (struct cfs_leader *leader,
-                                 const struct cfs_document_edge *edge,
+                                 const struct cfs_document_decoder *edge,
                                  int64_t lease_us);
 
 /** cfs_leader_set_members() - members of the control group, told to hosts */
--- a/src/process/leader_int.h
+++ b/src/process/leader_int.h
@@ -64,7 +64,7 @@
   uint64_t assign_index;
   int64_t grace_end;
   struct reply_rows rows;
-  const struct cfs_document_edge *edge;
+  const struct cfs_document_decoder *edge;
   struct cfs_catalog *catalog;
   bool read;
   uint64_t read_version;
--- a/src/process/leader_reply.c
+++ b/src/process/leader_reply.c
@@ -210,10 +210,10 @@
         continue;
       cfs__team_share__init (&rows->shares[n]);
       rows->shares[n].team = (char *)team->name;
-      rows->shares[n].share = cfs_shares_settle (
+      rows->shares[n].share = cfs_shares_assign (
           &l->shares, team->name, team->rate, team->burst, in->host,
           use->demand, use->share, now, now + l->share_wait_us);
-      rows->shares[n].known = cfs_shares_sure (&l->shares, now);
+      rows->shares[n].known = cfs_shares_is_accurate (&l->shares, now);
       rows->share_list[n] = &rows->shares[n];
       rows->msg.n_shares++;
     }
@@ -240,7 +240,7 @@
       cfs__team_tokens__init (out);
       out->team = in->team;
       out->asked = in->count;
-      out->known = cfs_shares_sure (&l->shares, now);
+      out->known = cfs_shares_is_accurate (&l->shares, now);
       if (team)
         out->count = cfs_shares_grant (&l->shares, team->name, team->rate,
                                        team->burst, in->count, now);
@@ -285,7 +285,7 @@
   reply_turns (l, in->directory);
   reply_shares (l, in, now);
   reply_members (l, in->members_hash);
-  cfs_shares_renew (&l->shares, in->host, now + l->share_wait_us);
+  cfs_shares_extend (&l->shares, in->host, now + l->share_wait_us);
 }
 
 void
--- a/src/process/node.c
+++ b/src/process/node.c
@@ -5,7 +5,7 @@
  */
 #include "node.h"
 
-#include "agent.h"
+#include "control_client.h"
 #include "control.h"
 #include "front.h"
 #include "log.h"
@@ -32,7 +32,7 @@
   struct cfs_net_guard *guard;
   struct cfs_loop *loop;
   struct cfs_control *control;
-  struct cfs_agent *agent;
+  struct cfs_control_client *agent;
   apr_pool_t *pool;
   volatile bool stop;
   uint64_t boot;
@@ -77,7 +77,7 @@
   cfs_pair_send (((struct node *)ctx)->pair, &out);
 }
 
-static const struct cfs_agent_ops agent_ops
+static const struct cfs_control_client_ops agent_ops
     = { on_renewed, on_called, on_tokens };
 
 static void
@@ -87,12 +87,12 @@
 
   while ((peer = cfs_pair_receive (n->pair)))
     if (peer->body_case == CFS__PEER__BODY_HEARTBEAT)
-      cfs_agent_report (n->agent, peer);
+      cfs_control_client_report (n->agent, peer);
     else if (peer->body_case == CFS__PEER__BODY_CALL)
-      cfs_agent_call (n->agent, peer, cfs_now ());
+      cfs_control_client_forward (n->agent, peer, cfs_now ());
     else if (peer->body_case == CFS__PEER__BODY_TOKENS_ASK)
       {
-        cfs_agent_ask (n->agent, peer);
+        cfs_control_client_request_tokens (n->agent, peer);
         cfs__peer__free_unpacked (peer, NULL);
       }
     else
@@ -110,12 +110,12 @@
       int64_t now;
 
       pump_pair (n);
-      cfs_agent_pump (n->agent);
+      cfs_control_client_pump (n->agent);
       if (n->control)
         cfs_control_pump (n->control);
       cfs_loop_poll (n->loop, TICK_US);
       now = cfs_now ();
-      cfs_agent_tick (n->agent, now);
+      cfs_control_client_tick (n->agent, now);
       if (n->control)
         cfs_control_tick (n->control, now);
     }
@@ -137,7 +137,7 @@
 static void
 end_node (struct node *n)
 {
-  cfs_agent_free (n->agent);
+  cfs_control_client_free (n->agent);
   cfs_control_free (n->control);
   cfs_pair_free (n->pair);
   cfs_net_guard_free (n->guard);
@@ -215,8 +215,8 @@
   ok = open_control (&n, error);
   if (ok)
     {
-      n.agent
-          = cfs_agent_new (&agent_ops, &n, settings, n.boot, n.zmq, n.loop);
+      n.agent = cfs_control_client_new (&agent_ops, &n, settings, n.boot,
+                                        n.zmq, n.loop);
       ok = cfs_settings_serves_sessions (settings) ? serve_sessions (&n, error)
                                                    : serve_calls (&n, error);
     }
--- a/src/process/shares.c
+++ b/src/process/shares.c
@@ -63,7 +63,7 @@
 }
 
 void
-cfs_shares_start (struct cfs_shares *s, int64_t grace_end)
+cfs_shares_reset (struct cfs_shares *s, int64_t grace_end)
 {
   cfs_shares_end (s);
   cfs_shares_init (s);
@@ -72,7 +72,7 @@
 }
 
 void
-cfs_shares_trust (struct cfs_shares *s, int64_t idle_since, int64_t now)
+cfs_shares_end_grace (struct cfs_shares *s, int64_t idle_since, int64_t now)
 {
   s->grace_end = 0;
   if (!s->trusted)
@@ -127,7 +127,7 @@
 }
 
 bool
-cfs_shares_sure (const struct cfs_shares *s, int64_t now)
+cfs_shares_is_accurate (const struct cfs_shares *s, int64_t now)
 {
   return knows_all (s, now) && now >= s->sure_from;
 }
@@ -181,7 +181,8 @@
              double burst, int64_t now)
 {
   double depth = bucket_depth (t, rate, burst, now);
-  double shares = knows_all (s, now) ? all_out (t, now) : rate * SHARE_PART;
+  double shares
+      = knows_all (s, now) ? all_out (t, now) : rate * SHARED_FRACTION;
   double fresh;
 
   if (!t->first_at)
@@ -215,14 +216,14 @@
 
   if (is_pressed (t, now) || wanted <= 0)
     return 0;
-  share = rate * SHARE_PART * mine->want / wanted;
+  share = rate * SHARED_FRACTION * mine->want / wanted;
   if (fabs (share - mine->held) < CHANGE_MIN * mine->held)
     share = mine->held;
   return share * burst < rate ? 0 : share;
 }
 
 double
-cfs_shares_settle (struct cfs_shares *s, const char *team, double rate,
+cfs_shares_assign (struct cfs_shares *s, const char *team, double rate,
                    double burst, const char *host, double demand, double held,
                    int64_t now, int64_t until)
 {
@@ -233,7 +234,7 @@
   fill_bucket (s, t, rate, burst, now);
   forget_expired (t, now);
   mine = cfs_table_add (&t->hosts, host);
-  room = fmax (rate * SHARE_PART - all_out (t, now) + out (mine, now), 0);
+  room = fmax (rate * SHARED_FRACTION - all_out (t, now) + out (mine, now), 0);
   if (!knows_all (s, now))
     room = fmin (room, held);
   mine->held = held;
@@ -259,7 +260,7 @@
 }
 
 void
-cfs_shares_renew (struct cfs_shares *s, const char *host, int64_t until)
+cfs_shares_extend (struct cfs_shares *s, const char *host, int64_t until)
 {
   for (size_t i = 0; i < s->teams.count; i++)
     {
--- a/src/process/shares.h
+++ b/src/process/shares.h
@@ -19,12 +19,12 @@
    the configuration that it belongs to. */
 #define SHARE_LEASE_US (1500 * CFS_US_PER_MS)
 /* Wait until none is held by a silent host, clocks that drift included. */
-#define SHARE_WAIT_US (SHARE_LEASE_US + SHARE_LEASE_US / 20)
+#define SHARE_EXPIRY_US (SHARE_LEASE_US + SHARE_LEASE_US / 20)
 /* A token that was granted is void after this time. */
 #define TOKEN_LIFE_US (250 * CFS_US_PER_MS)
 /* Part of the rate that is given out as shares; each share gets the same
    part of the burst. */
-#define SHARE_PART 0.5
+#define SHARED_FRACTION 0.5
 
 /** struct cfs_shares - one table of hosts a team */
 struct cfs_shares
@@ -43,28 +43,28 @@
 void cfs_shares_end (struct cfs_shares *shares);
 
 /**
- * cfs_shares_start() - forgets all; until @grace_end hosts may hold shares
+ * cfs_shares_reset() - forgets all; until @grace_end hosts may hold shares
  * of an earlier leader, so none grows
  */
-void cfs_shares_start (struct cfs_shares *shares, int64_t grace_end);
+void cfs_shares_reset (struct cfs_shares *shares, int64_t grace_end);
 
 /**
- * cfs_shares_trust() - no share of an earlier leader is unknown any more
+ * cfs_shares_end_grace() - no share of an earlier leader is unknown any more
  * @idle_since: nothing has passed at any host since then
  */
-void cfs_shares_trust (struct cfs_shares *shares, int64_t idle_since,
-                       int64_t now);
+void cfs_shares_end_grace (struct cfs_shares *shares, int64_t idle_since,
+                           int64_t now);
 
 /**
- * cfs_shares_sure() - whether a token that is denied is in use
+ * cfs_shares_is_accurate() - whether a token that is denied is in use
  *
  * Not so while shares of an earlier leader may be out, nor shortly after:
  * what its buckets held is lost.
  */
-bool cfs_shares_sure (const struct cfs_shares *shares, int64_t now);
+bool cfs_shares_is_accurate (const struct cfs_shares *shares, int64_t now);
 
 /**
- * cfs_shares_settle() - the share of one host
+ * cfs_shares_assign() - the share of one host
  * @rate: rate of the team, operations a second
  * @burst: burst of the team; a share too small for one operation is not made
  * @demand: what the host was asked for, operations a second
@@ -73,7 +73,7 @@
  *
  * Return: operations a second, at most what is free.
  */
-double cfs_shares_settle (struct cfs_shares *shares, const char *team,
+double cfs_shares_assign (struct cfs_shares *shares, const char *team,
                           double rate, double burst, const char *host,
                           double demand, double held, int64_t now,
                           int64_t until);
@@ -89,8 +89,8 @@
                            double rate, double burst, uint32_t count,
                            int64_t now);
 
-/** cfs_shares_renew() - the shares of a host stay out until later */
-void cfs_shares_renew (struct cfs_shares *shares, const char *host,
-                       int64_t until);
+/** cfs_shares_extend() - the shares of a host stay out until later */
+void cfs_shares_extend (struct cfs_shares *shares, const char *host,
+                        int64_t until);
 
 #endif
--- a/tests/unit/shares_random.c
+++ b/tests/unit/shares_random.c
@@ -103,7 +103,7 @@
 static void
 change_leader (struct world *w)
 {
-  cfs_shares_start (&w->shares, w->now + SHARE_WAIT_US);
+  cfs_shares_reset (&w->shares, w->now + SHARE_EXPIRY_US);
   for (int i = 0; i < HOSTS; i++)
     w->hosts[i].told = false;
 }
@@ -120,7 +120,7 @@
       if (w->hosts[i].idle_since > idle_since)
         idle_since = w->hosts[i].idle_since;
     }
-  cfs_shares_trust (&w->shares, idle_since, w->now);
+  cfs_shares_end_grace (&w->shares, idle_since, w->now);
 }
 
 static void
@@ -136,10 +136,10 @@
   if (!h->told)
     h->idle_since = held > 0 ? w->now : h->quota.used_at;
   h->told = true;
-  h->share.share = cfs_shares_settle (&w->shares, TEAM, t->rate, t->burst,
+  h->share.share = cfs_shares_assign (&w->shares, TEAM, t->rate, t->burst,
                                       h->name, cfs_quota_demand (r, w->now),
-                                      held, w->now, w->now + SHARE_WAIT_US);
-  h->share.known = cfs_shares_sure (&w->shares, w->now);
+                                      held, w->now, w->now + SHARE_EXPIRY_US);
+  h->share.known = cfs_shares_is_accurate (&w->shares, w->now);
   h->share.due = w->lossless || draw (w, 10) > 0;
   h->share.sent_at = w->now;
   h->share.at = w->now + (int64_t)draw (w, 60) * CFS_US_PER_MS;
@@ -158,7 +158,7 @@
   a = &h->tokens[h->next_ask];
   h->next_ask = (h->next_ask + 1) % ASKS_MAX;
   a->asked = want;
-  a->known = cfs_shares_sure (&w->shares, w->now);
+  a->known = cfs_shares_is_accurate (&w->shares, w->now);
   a->tokens
       = cfs_shares_grant (&w->shares, TEAM, t->rate, t->burst, want, w->now);
   a->due = w->lossless || draw (w, 10) > 0;
