--- a/src/process/failover.c
+++ b/src/process/failover.c
@@ -16,178 +16,180 @@
 
 #define PART "succession"
 /* Without hosts that suspect it, too, for this time. */
-#define SILENT_ALONE_US (3500 * CFS_US_PER_MS)
+#define PRIMARY_TIMEOUT_ALONE_US (3500 * CFS_US_PER_MS)
 /* A leader waits this long after it took over, to hear from all. */
-#define SETTLE_US (800 * CFS_US_PER_MS)
+#define NEW_LEADER_WAIT_US (800 * CFS_US_PER_MS)
 /* Time for all replicas to be paused. */
-#define PAUSE_MAX_US (900 * CFS_US_PER_MS)
+#define PAUSE_TIMEOUT_US (900 * CFS_US_PER_MS)
 /* Time for the log to commit a token. */
-#define COMMIT_MAX_US (3 * CFS_US_PER_S)
+#define COMMIT_TIMEOUT_US (3 * CFS_US_PER_S)
 /* Time for an order to be answered. */
-#define ORDER_MAX_US (3200 * CFS_US_PER_MS)
+#define PROMOTION_TIMEOUT_US (3200 * CFS_US_PER_MS)
 /* Time for the chosen instance to be seen leading. */
-#define CONFIRM_MAX_US (3 * CFS_US_PER_S)
+#define CONFIRM_TIMEOUT_US (3 * CFS_US_PER_S)
 /* Connections in a row that failed before a primary counts as down. */
-#define FAILURES_MAX 2
+#define CONNECT_FAILURES_MAX 2
 /* Hosts must go on to suspect a primary that answers for this time. */
-#define SUSPECTED_US (500 * CFS_US_PER_MS)
+#define SUSPECT_MIN_US (500 * CFS_US_PER_MS)
 /* No change starts for this time after one has ended. */
-#define REST_US (1500 * CFS_US_PER_MS)
+#define COOLDOWN_US (1500 * CFS_US_PER_MS)
 /* Parts of the hosts alive that must suspect a primary: one that the leader
    cannot reach either, and one that answers the leader. */
-#define SUSPECT_PART 0.25
-#define SUSPECT_ALONE_PART 0.25
+#define SUSPECT_FRACTION 0.25
+#define SUSPECT_REACHABLE_FRACTION 0.25
 
 struct cfs_failover_manager *
 cfs_failover_new (const struct cfs_failover_ops *ops, void *ctx,
-                  const struct cfs_target_adapter *edge,
+                  const struct cfs_target_adapter *adapter,
                   const struct cfs_state *state, int64_t (*clock) (void))
 {
-  struct cfs_failover_manager *s = cfs_alloc (sizeof *s);
-
-  s->ops = ops;
-  s->ctx = ctx;
-  s->edge = edge;
-  s->state = state;
-  s->clock = clock;
-  return s;
+  struct cfs_failover_manager *m = cfs_alloc (sizeof *m);
+
+  m->ops = ops;
+  m->ctx = ctx;
+  m->adapter = adapter;
+  m->state = state;
+  m->clock = clock;
+  return m;
 }
 
 void
-cfs_failover_free (struct cfs_failover_manager *s)
+cfs_failover_free (struct cfs_failover_manager *m)
 {
-  if (!s)
+  if (!m)
     return;
-  for (size_t i = 0; i < s->count; i++)
+  for (size_t i = 0; i < m->count; i++)
     {
-      failover_close_probes (s->reigns[i]);
-      failover_close_probe (&s->reigns[i]->watch);
-      free (s->reigns[i]);
+      failover_close_probes (m->services[i]);
+      failover_close_probe (&m->services[i]->primary_probe);
+      free (m->services[i]);
     }
-  free (s->reigns);
-  free (s);
+  free (m->services);
+  free (m);
 }
 
 static struct failover_state *
-reign_of (struct cfs_failover_manager *s, const char *service)
+find_or_add_service (struct cfs_failover_manager *m, const char *service)
 {
-  struct failover_state *r;
-
-  for (size_t i = 0; i < s->count; i++)
-    if (strcmp (s->reigns[i]->service, service) == 0)
-      return s->reigns[i];
-  cfs_grow (&s->reigns, &s->cap, s->count, sizeof *s->reigns);
-  r = cfs_alloc (sizeof *r);
-  cfs_copy (r->service, sizeof r->service, service);
-  s->reigns[s->count++] = r;
-  return r;
+  struct failover_state *f;
+
+  for (size_t i = 0; i < m->count; i++)
+    if (strcmp (m->services[i]->service, service) == 0)
+      return m->services[i];
+  cfs_grow (&m->services, &m->cap, m->count, sizeof *m->services);
+  f = cfs_alloc (sizeof *f);
+  cfs_copy (f->service, sizeof f->service, service);
+  m->services[m->count++] = f;
+  return f;
 }
 
 static const struct cfs_target *
-primary_of (const struct cfs_failover_manager *s,
-            const struct failover_state *r)
+current_primary (const struct cfs_failover_manager *m,
+                 const struct failover_state *f)
 {
-  return cfs_targets_primary (&s->state->targets, &s->state->turns,
-                              r->service);
+  return cfs_targets_primary (&m->state->targets, &m->state->turns,
+                              f->service);
 }
 
 /* Why the primary is to be replaced, or NULL. */
 static const char *
-reason_to_change (const struct cfs_failover_manager *s,
-                  struct failover_state *r, const struct cfs_target *t,
-                  int64_t now)
+failover_reason (const struct cfs_failover_manager *m,
+                 struct failover_state *f, const struct cfs_target *t,
+                 int64_t now)
 {
   size_t hosts = 0;
   size_t suspects;
   int64_t silent;
 
-  if (!t && now - r->leaderless_at > SILENT_ALONE_US)
+  if (!t && now - f->no_primary_since > PRIMARY_TIMEOUT_ALONE_US)
     return "no instance leads";
   if (!t)
     return NULL;
   if (t->draining)
     return "the primary leaves";
-  suspects = s->ops->suspected (s->ctx, t->id, &hosts);
-  silent = now - r->watch.answered_at;
-  if (r->denied_at && now - r->denied_at > SILENT_US)
+  suspects = m->ops->suspecting_hosts (m->ctx, t->id, &hosts);
+  silent = now - f->primary_probe.replied_at;
+  if (f->not_primary_since && now - f->not_primary_since > PRIMARY_TIMEOUT_US)
     return "the primary says that it does not lead";
-  if (silent > SILENT_ALONE_US)
+  if (silent > PRIMARY_TIMEOUT_ALONE_US)
     return "the primary is silent";
-  if (silent > SILENT_US && (double)suspects >= SUSPECT_PART * (double)hosts)
+  if (silent > PRIMARY_TIMEOUT_US
+      && (double)suspects >= SUSPECT_FRACTION * (double)hosts)
     return "the primary is silent, hosts cannot reach it";
-  if (r->watch.failures >= FAILURES_MAX
-      && (double)suspects >= SUSPECT_PART * (double)hosts)
+  if (f->primary_probe.connect_failures >= CONNECT_FAILURES_MAX
+      && (double)suspects >= SUSPECT_FRACTION * (double)hosts)
     return "the primary takes no connections";
-  if (suspects < 2 || (double)suspects < SUSPECT_ALONE_PART * (double)hosts)
-    r->suspected_at = 0;
-  else if (!r->suspected_at)
-    r->suspected_at = now;
-  if (r->suspected_at && now - r->suspected_at > SUSPECTED_US)
+  if (suspects < 2
+      || (double)suspects < SUSPECT_REACHABLE_FRACTION * (double)hosts)
+    f->suspected_since = 0;
+  else if (!f->suspected_since)
+    f->suspected_since = now;
+  if (f->suspected_since && now - f->suspected_since > SUSPECT_MIN_US)
     return "hosts cannot use the primary";
   return NULL;
 }
 
 static void
-enter (struct failover_state *r, enum phase phase, int64_t now)
+enter_phase (struct failover_state *f, enum failover_phase phase, int64_t now)
 {
-  r->phase = phase;
-  r->since = now;
+  f->phase = phase;
+  f->phase_since = now;
 }
 
 /* Puts a new token into the log; everything starts over from there. */
 static void
-open_turn (struct cfs_failover_manager *s, struct failover_state *r,
-           int64_t now)
+open_failover (struct cfs_failover_manager *m, struct failover_state *f,
+               int64_t now)
 {
   Cfs__Turn turn = CFS__TURN__INIT;
 
-  failover_close_probes (r);
-  r->chosen[0] = '\0';
-  turn.service = r->service;
+  failover_close_probes (f);
+  f->candidate[0] = '\0';
+  turn.service = f->service;
   turn.open = true;
-  r->index = s->ops->propose (s->ctx, &turn);
-  r->fence = r->index;
-  enter (r, r->index ? PHASE_OPENING : PHASE_STEADY, now);
-  r->retry_at = now + RETRY_US;
+  f->log_index = m->ops->propose (m->ctx, &turn);
+  f->fence = f->log_index;
+  enter_phase (f, f->log_index ? PHASE_OPENING : PHASE_MONITORING, now);
+  f->retry_at = now + RETRY_US;
 }
 
 static void
-close_turn (struct cfs_failover_manager *s, struct failover_state *r,
-            int64_t now)
+close_failover (struct cfs_failover_manager *m, struct failover_state *f,
+                int64_t now)
 {
   Cfs__Turn turn = CFS__TURN__INIT;
 
-  turn.service = r->service;
-  turn.target = r->chosen;
-  turn.fence = r->fence;
-  r->index = s->ops->propose (s->ctx, &turn);
-  enter (r, PHASE_CLOSING, now);
+  turn.service = f->service;
+  turn.target = f->candidate;
+  turn.fence = f->fence;
+  f->log_index = m->ops->propose (m->ctx, &turn);
+  enter_phase (f, PHASE_CLOSING, now);
 }
 
 /* The longest log; among equals one that stays and did not lead, because
    there was a reason to replace that.  The log of the instance
    that stepped down is compared, too: it may be the only known copy. */
 static const struct probe *
-choose (const struct cfs_failover_manager *s, const struct failover_state *r,
-        int64_t now)
+choose_candidate (const struct cfs_failover_manager *m,
+                  const struct failover_state *f, int64_t now)
 {
   const struct probe *best = NULL;
   bool best_stays = false;
 
-  for (size_t i = 0; i < r->probe_count; i++)
+  for (size_t i = 0; i < f->probe_count; i++)
     {
-      const struct probe *p = &r->probes[i];
+      const struct probe *p = &f->probes[i];
       const struct cfs_target *t
-          = cfs_table_find (&s->state->targets, p->target);
-      bool stays = t && !t->draining && strcmp (t->id, r->former) != 0;
-      int order = best ? cfs_position_compare (&p->status.received,
-                                               &best->status.received)
-                       : 1;
+          = cfs_table_find (&m->state->targets, p->target);
+      bool stays = t && !t->draining && strcmp (t->id, f->former_primary) != 0;
+      int cmp = best ? cfs_position_compare (&p->status.received,
+                                             &best->status.received)
+                     : 1;
 
-      bool paused = p->paused && now - p->answered_at < ANSWER_FRESH_US;
+      bool paused = p->paused && now - p->replied_at < STATUS_MAX_AGE_US;
 
-      if ((!paused && !p->demoted) || order < 0
-          || (order == 0 && (best_stays || !stays)))
+      if ((!paused && !p->demoted) || cmp < 0
+          || (cmp == 0 && (best_stays || !stays)))
         continue;
       best = p;
       best_stays = stays;
@@ -196,266 +198,269 @@
 }
 
 static void
-send_order (struct cfs_failover_manager *s, struct failover_state *r,
-            const struct probe *chosen, int64_t now)
+send_promotion (struct cfs_failover_manager *m, struct failover_state *f,
+                const struct probe *candidate, int64_t now)
 {
-  cfs_copy (r->chosen, sizeof r->chosen, chosen->target);
-  r->ordered = true;
-  enter (r, PHASE_ORDERING, now);
-  for (size_t i = 0; i < r->probe_count; i++)
-    if (*r->probes[i].target)
+  cfs_copy (f->candidate, sizeof f->candidate, candidate->target);
+  f->promotion_sent = true;
+  enter_phase (f, PHASE_PROMOTING, now);
+  for (size_t i = 0; i < f->probe_count; i++)
+    if (*f->probes[i].target)
       cfs_log (CFS_NOTICE, PART,
                "service=%s target=%s paused=%d leads=%d position=%" PRIu64
                ".%" PRIu64,
-               r->service, r->probes[i].target, r->probes[i].paused,
-               r->probes[i].read && r->probes[i].status.primary,
-               r->probes[i].status.received.term,
-               r->probes[i].status.received.number);
+               f->service, f->probes[i].target, f->probes[i].paused,
+               f->probes[i].status_known && f->probes[i].status.primary,
+               f->probes[i].status.received.term,
+               f->probes[i].status.received.number);
   cfs_log (CFS_NOTICE, PART,
            "service=%s target=%s fence=%" PRIu64
            " is ordered to lead, took_ms=%" PRId64,
-           r->service, r->chosen, r->fence,
-           (now - r->started_at) / CFS_US_PER_MS);
-  s->ops->order (s->ctx, r->service, r->chosen, r->fence);
+           f->service, f->candidate, f->fence,
+           (now - f->started_at) / CFS_US_PER_MS);
+  m->ops->promote (m->ctx, f->service, f->candidate, f->fence);
 }
 
 /* Another instance leads than this host thought: it stays.  An order that
    may still be carried out is overtaken by one for the same instance. */
 static void
-accept_leader (struct cfs_failover_manager *s, struct failover_state *r,
-               const struct probe *leads, int64_t now)
+accept_primary (struct cfs_failover_manager *m, struct failover_state *f,
+                const struct probe *primary, int64_t now)
 {
-  if (r->ordered)
+  if (f->promotion_sent)
     {
-      send_order (s, r, leads, now);
+      send_promotion (m, f, primary, now);
       return;
     }
-  cfs_log (CFS_NOTICE, PART, "service=%s target=%s leads already", r->service,
-           leads->target);
-  cfs_copy (r->chosen, sizeof r->chosen, leads->target);
-  failover_resume_replicas (r, now);
-  close_turn (s, r, now);
+  cfs_log (CFS_NOTICE, PART, "service=%s target=%s leads already", f->service,
+           primary->target);
+  cfs_copy (f->candidate, sizeof f->candidate, primary->target);
+  failover_resume_replicas (f, now);
+  close_failover (m, f, now);
 }
 
 static void
-log_missing (const struct failover_state *r)
+log_unpaused (const struct failover_state *f)
 {
-  for (size_t i = 0; i < r->probe_count; i++)
-    if (*r->probes[i].target && !r->probes[i].read)
+  for (size_t i = 0; i < f->probe_count; i++)
+    if (*f->probes[i].target && !f->probes[i].status_known)
       cfs_log (CFS_NOTICE, PART, "service=%s target=%s is not paused, up=%d",
-               r->service, r->probes[i].target, r->probes[i].up);
+               f->service, f->probes[i].target, f->probes[i].connected);
 }
 
 /* An acknowledged commit is on the true primary and on one other instance.
    When all but one are paused replicas, the one left out is the primary, or
    there is none: the paused ones then have every acknowledged commit. */
 static void
-run_pausing (struct cfs_failover_manager *s, struct failover_state *r,
+run_pausing (struct cfs_failover_manager *m, struct failover_state *f,
              int64_t now)
 {
-  const struct cfs_target *primary = primary_of (s, r);
-  struct probe_summary c = failover_poll_instances (s, r, now);
-  bool other
-      = c.leads && (!primary || strcmp (c.leads->target, primary->id) != 0);
+  const struct cfs_target *primary = current_primary (m, f);
+  struct probe_summary c = failover_poll_instances (m, f, now);
+  bool other = c.primary
+               && (!primary || strcmp (c.primary->target, primary->id) != 0);
 
   if (other && c.paused + 1 >= c.known)
     {
-      accept_leader (s, r, c.leads, now);
+      accept_primary (m, f, c.primary, now);
       return;
     }
   if (c.paused > 0 && c.paused + 1 >= c.known)
     {
-      send_order (s, r, choose (s, r, now), now);
+      send_promotion (m, f, choose_candidate (m, f, now), now);
       return;
     }
-  if (now - r->since < PAUSE_MAX_US)
+  if (now - f->phase_since < PAUSE_TIMEOUT_US)
     return;
-  log_missing (r);
-  if (r->ordered || c.demoted || !primary
-      || reason_to_change (s, r, primary, now))
+  log_unpaused (f);
+  if (f->promotion_sent || c.demoted || !primary
+      || failover_reason (m, f, primary, now))
     {
-      r->since = now;
+      f->phase_since = now;
       return;
     }
   cfs_log (CFS_NOTICE, PART, "service=%s change given up, target=%s leads",
-           r->service, primary->id);
-  failover_resume_replicas (r, now);
-  close_turn (s, r, now);
+           f->service, primary->id);
+  failover_resume_replicas (f, now);
+  close_failover (m, f, now);
 }
 
 /* An instance that answers as the primary steps down first. */
 static void
-begin_pausing (struct cfs_failover_manager *s, struct failover_state *r,
+begin_pausing (struct cfs_failover_manager *m, struct failover_state *f,
                int64_t now)
 {
-  const struct cfs_target *primary = primary_of (s, r);
-  bool answers = primary && r->watch.up && r->watch.read
-                 && strcmp (r->watch.target, primary->id) == 0
-                 && now - r->watch.answered_at < SILENT_US;
-
-  cfs_copy (r->former, sizeof r->former, primary ? primary->id : "");
-  r->pause_from = answers ? now + DEMOTE_MAX_US : now;
-  enter (r, PHASE_PAUSING, now);
-  run_pausing (s, r, now);
+  const struct cfs_target *primary = current_primary (m, f);
+  bool answers = primary && f->primary_probe.connected
+                 && f->primary_probe.status_known
+                 && strcmp (f->primary_probe.target, primary->id) == 0
+                 && now - f->primary_probe.replied_at < PRIMARY_TIMEOUT_US;
+
+  cfs_copy (f->former_primary, sizeof f->former_primary,
+            primary ? primary->id : "");
+  f->pause_at = answers ? now + DEMOTE_TIMEOUT_US : now;
+  enter_phase (f, PHASE_PAUSING, now);
+  run_pausing (m, f, now);
 }
 
 static void
-run_opening (struct cfs_failover_manager *s, struct failover_state *r,
+run_opening (struct cfs_failover_manager *m, struct failover_state *f,
              uint64_t committed, int64_t now)
 {
-  if (committed >= r->index)
-    begin_pausing (s, r, now);
-  else if (now - r->since > COMMIT_MAX_US)
-    enter (r, PHASE_STEADY, now);
+  if (committed >= f->log_index)
+    begin_pausing (m, f, now);
+  else if (now - f->phase_since > COMMIT_TIMEOUT_US)
+    enter_phase (f, PHASE_MONITORING, now);
 }
 
 static void
-run_closing (struct failover_state *r, uint64_t committed, int64_t now)
+run_closing (struct failover_state *f, uint64_t committed, int64_t now)
 {
-  if ((committed < r->index || failover_query_pending (r))
-      && now - r->since < COMMIT_MAX_US)
+  if ((committed < f->log_index || failover_query_pending (f))
+      && now - f->phase_since < COMMIT_TIMEOUT_US)
     return;
-  failover_close_probes (r);
-  r->ordered = false;
-  r->retry_at = now + REST_US;
-  enter (r, PHASE_STEADY, now);
+  failover_close_probes (f);
+  f->promotion_sent = false;
+  f->retry_at = now + COOLDOWN_US;
+  enter_phase (f, PHASE_MONITORING, now);
 }
 
 /* Waits until the chosen instance has answered that it leads.  The change is
    closed behind the resumption of the replicas: a leader that takes over
    before that goes through all of it again. */
 static void
-run_confirming (struct cfs_failover_manager *s, struct failover_state *r,
+run_confirming (struct cfs_failover_manager *m, struct failover_state *f,
                 int64_t now)
 {
-  const struct cfs_target *t = cfs_table_find (&s->state->targets, r->chosen);
+  const struct cfs_target *t
+      = cfs_table_find (&m->state->targets, f->candidate);
 
   if (t)
-    failover_watch_primary (s, r, t, now);
-  if (t && r->watch.read && r->watch.status.primary)
+    failover_watch_primary (m, f, t, now);
+  if (t && f->primary_probe.status_known && f->primary_probe.status.primary)
     {
       cfs_log (CFS_NOTICE, PART,
-               "service=%s target=%s leads, took_ms=%" PRId64, r->service,
-               t->id, (now - r->started_at) / CFS_US_PER_MS);
-      failover_resume_replicas (r, now);
-      close_turn (s, r, now);
+               "service=%s target=%s leads, took_ms=%" PRId64, f->service,
+               t->id, (now - f->started_at) / CFS_US_PER_MS);
+      failover_resume_replicas (f, now);
+      close_failover (m, f, now);
     }
-  else if (now - r->since > CONFIRM_MAX_US)
-    open_turn (s, r, now);
+  else if (now - f->phase_since > CONFIRM_TIMEOUT_US)
+    open_failover (m, f, now);
 }
 
 static void
-run_steady (struct cfs_failover_manager *s, struct failover_state *r,
-            int64_t now)
+run_monitoring (struct cfs_failover_manager *m, struct failover_state *f,
+                int64_t now)
 {
   const struct cfs_failover *turn
-      = cfs_table_find (&s->state->turns, r->service);
-  const struct cfs_target *t = primary_of (s, r);
+      = cfs_table_find (&m->state->turns, f->service);
+  const struct cfs_target *t = current_primary (m, f);
   const char *reason;
 
   if (t)
     {
-      failover_watch_primary (s, r, t, now);
-      r->leaderless_at = 0;
+      failover_watch_primary (m, f, t, now);
+      f->no_primary_since = 0;
     }
-  else if (!r->leaderless_at)
-    r->leaderless_at = now;
-  if (now - s->led_since < SETTLE_US || now < r->retry_at)
+  else if (!f->no_primary_since)
+    f->no_primary_since = now;
+  if (now - m->leader_since < NEW_LEADER_WAIT_US || now < f->retry_at)
     return;
   reason = turn && turn->open ? "a change is not ended"
-                              : reason_to_change (s, r, t, now);
+                              : failover_reason (m, f, t, now);
   if (!reason)
     return;
   cfs_log (CFS_NOTICE, PART, "service=%s target=%s is replaced: %s",
-           r->service, t ? t->id : "-", reason);
-  r->ordered = turn && turn->open;
-  r->started_at = now;
-  open_turn (s, r, now);
+           f->service, t ? t->id : "-", reason);
+  f->promotion_sent = turn && turn->open;
+  f->started_at = now;
+  open_failover (m, f, now);
 }
 
 static void
-run_reign (struct cfs_failover_manager *s, struct failover_state *r,
-           uint64_t committed, int64_t now)
+run_service (struct cfs_failover_manager *m, struct failover_state *f,
+             uint64_t committed, int64_t now)
 {
-  switch (r->phase)
+  switch (f->phase)
     {
-    case PHASE_STEADY:
-      run_steady (s, r, now);
+    case PHASE_MONITORING:
+      run_monitoring (m, f, now);
       break;
     case PHASE_OPENING:
-      run_opening (s, r, committed, now);
+      run_opening (m, f, committed, now);
       break;
     case PHASE_PAUSING:
-      run_pausing (s, r, now);
+      run_pausing (m, f, now);
       break;
-    case PHASE_ORDERING:
-      if (now - r->since > ORDER_MAX_US)
-        open_turn (s, r, now);
+    case PHASE_PROMOTING:
+      if (now - f->phase_since > PROMOTION_TIMEOUT_US)
+        open_failover (m, f, now);
       break;
     case PHASE_CLOSING:
-      run_closing (r, committed, now);
+      run_closing (f, committed, now);
       break;
     case PHASE_CONFIRMING:
-      run_confirming (s, r, now);
+      run_confirming (m, f, now);
       break;
     }
 }
 
 static void
-stop_leading (struct cfs_failover_manager *s)
+lose_leadership (struct cfs_failover_manager *m)
 {
-  for (size_t i = 0; i < s->count; i++)
+  for (size_t i = 0; i < m->count; i++)
     {
-      struct failover_state *r = s->reigns[i];
+      struct failover_state *f = m->services[i];
 
-      failover_close_probes (r);
-      failover_close_probe (&r->watch);
-      memset (&r->watch, 0, sizeof r->watch);
-      r->phase = PHASE_STEADY;
+      failover_close_probes (f);
+      failover_close_probe (&f->primary_probe);
+      memset (&f->primary_probe, 0, sizeof f->primary_probe);
+      f->phase = PHASE_MONITORING;
     }
 }
 
 void
-cfs_failover_tick (struct cfs_failover_manager *s, bool leads,
+cfs_failover_tick (struct cfs_failover_manager *m, bool is_leader,
                    uint64_t committed, int64_t now)
 {
-  if (leads && !s->leads)
-    s->led_since = now;
-  if (!leads && s->leads)
-    stop_leading (s);
-  s->leads = leads;
-  if (!leads)
+  if (is_leader && !m->is_leader)
+    m->leader_since = now;
+  if (!is_leader && m->is_leader)
+    lose_leadership (m);
+  m->is_leader = is_leader;
+  if (!is_leader)
     return;
-  for (size_t i = 0; i < s->state->targets.count; i++)
+  for (size_t i = 0; i < m->state->targets.count; i++)
     {
-      const struct cfs_target *t = cfs_table_at (&s->state->targets, i);
+      const struct cfs_target *t = cfs_table_at (&m->state->targets, i);
 
       if (!t->gone)
-        reign_of (s, t->service);
+        find_or_add_service (m, t->service);
     }
-  for (size_t i = 0; i < s->count; i++)
-    run_reign (s, s->reigns[i], committed, now);
+  for (size_t i = 0; i < m->count; i++)
+    run_service (m, m->services[i], committed, now);
 }
 
 void
-cfs_failover_promotion_result (struct cfs_failover_manager *s,
+cfs_failover_promotion_result (struct cfs_failover_manager *m,
                                const char *service, uint64_t fence,
                                enum cfs_promotion_result result)
 {
-  struct failover_state *r = reign_of (s, service);
-  int64_t now = s->clock ();
+  struct failover_state *f = find_or_add_service (m, service);
+  int64_t now = m->clock ();
 
   cfs_log (CFS_NOTICE, PART,
            "service=%s target=%s fence=%" PRIu64
            " order result=%d took_ms=%" PRId64,
-           service, r->chosen, fence, (int)result,
-           (now - r->started_at) / CFS_US_PER_MS);
-  if (!s->leads || r->phase != PHASE_ORDERING || r->fence != fence)
+           service, f->candidate, fence, (int)result,
+           (now - f->started_at) / CFS_US_PER_MS);
+  if (!m->is_leader || f->phase != PHASE_PROMOTING || f->fence != fence)
     return;
   if (result != PROMOTION_ACCEPTED)
     {
-      open_turn (s, r, now);
+      open_failover (m, f, now);
       return;
     }
-  enter (r, PHASE_CONFIRMING, now);
+  enter_phase (f, PHASE_CONFIRMING, now);
 }
--- a/src/process/failover.h
+++ b/src/process/failover.h
@@ -36,26 +36,28 @@
 /**
  * struct cfs_failover_ops - effects
  * @propose: appends a change of primary to the log; gives its index or 0
- * @order: orders an instance to lead; cfs_failover_promotion_result() follows
- * @suspected: number of hosts that cannot reach a target, of @hosts alive
+ * @promote: orders an instance to lead; cfs_failover_promotion_result()
+ * follows
+ * @suspecting_hosts: number of hosts that cannot reach a target, of @hosts
+ * alive
  */
 struct cfs_failover_ops
 {
   uint64_t (*propose) (void *ctx, const Cfs__Turn *turn);
-  void (*order) (void *ctx, const char *service, const char *target,
-                 uint64_t fence);
-  size_t (*suspected) (void *ctx, const char *target, size_t *hosts);
+  void (*promote) (void *ctx, const char *service, const char *target,
+                   uint64_t fence);
+  size_t (*suspecting_hosts) (void *ctx, const char *target, size_t *hosts);
 };
 
 /**
  * cfs_failover_new() - watches nothing until it leads
- * @edge: makes connections to instances; all must outlive it
+ * @adapter: makes connections to instances; all must outlive it
  *
  * Return: freed by cfs_failover_free().
  */
 struct cfs_failover_manager *
 cfs_failover_new (const struct cfs_failover_ops *ops, void *ctx,
-                  const struct cfs_target_adapter *edge,
+                  const struct cfs_target_adapter *adapter,
                   const struct cfs_state *state, int64_t (*clock) (void));
 
 /** cfs_failover_free() - closes all connections */
@@ -63,10 +65,10 @@
 
 /**
  * cfs_failover_tick() - at least every 20 ms
- * @leads: whether this host leads with a confirmed majority
+ * @is_leader: whether this host leads with a confirmed majority
  * @committed: log index up to which the state is applied
  */
-void cfs_failover_tick (struct cfs_failover_manager *failover, bool leads,
+void cfs_failover_tick (struct cfs_failover_manager *failover, bool is_leader,
                         uint64_t committed, int64_t now);
 
 /** cfs_failover_promotion_result() - the answer to an order */
--- a/src/process/failover_int.h
+++ b/src/process/failover_int.h
@@ -8,23 +8,23 @@
 #include "failover.h"
 
 /* A primary that gave no answer for this time is suspected. */
-#define SILENT_US (1100 * CFS_US_PER_MS)
+#define PRIMARY_TIMEOUT_US (1100 * CFS_US_PER_MS)
 /* Answers that are older do not count in the choice. */
-#define ANSWER_FRESH_US (600 * CFS_US_PER_MS)
+#define STATUS_MAX_AGE_US (600 * CFS_US_PER_MS)
 /* Pause before the next attempt. */
 #define RETRY_US (200 * CFS_US_PER_MS)
 /* A reachable primary has this time to answer that it stepped down. */
-#define DEMOTE_MAX_US (400 * CFS_US_PER_MS)
+#define DEMOTE_TIMEOUT_US (400 * CFS_US_PER_MS)
 /* What it sent to its replicas before arrives within this time. */
-#define DELIVERY_US (60 * CFS_US_PER_MS)
+#define REPLICATION_DRAIN_US (60 * CFS_US_PER_MS)
 #define PROBES_MAX 16
 
-enum phase
+enum failover_phase
 {
-  PHASE_STEADY,
+  PHASE_MONITORING,
   PHASE_OPENING,
   PHASE_PAUSING,
-  PHASE_ORDERING,
+  PHASE_PROMOTING,
   PHASE_CONFIRMING,
   PHASE_CLOSING
 };
@@ -34,16 +34,16 @@
 {
   struct cfs_failover_manager *owner;
   char target[CFS_NAME_MAX];
-  uint64_t born;
-  struct cfs_target_conn *wire;
-  bool up;
-  bool asking;
+  uint64_t incarnation;
+  struct cfs_target_conn *conn;
+  bool connected;
+  bool query_pending;
   bool paused;
   bool demoted;
-  bool read;
-  unsigned failures;
-  int64_t asked_at;
-  int64_t answered_at;
+  bool status_known;
+  unsigned connect_failures;
+  int64_t sent_at;
+  int64_t replied_at;
   int64_t retry_at;
   uint64_t term;
   struct cfs_instance_state status;
@@ -53,21 +53,21 @@
 struct failover_state
 {
   char service[CFS_NAME_MAX];
-  enum phase phase;
-  struct probe watch;
-  int64_t denied_at;
-  int64_t suspected_at;
-  int64_t leaderless_at;
+  enum failover_phase phase;
+  struct probe primary_probe;
+  int64_t not_primary_since;
+  int64_t suspected_since;
+  int64_t no_primary_since;
   struct probe probes[PROBES_MAX];
   size_t probe_count;
-  char chosen[CFS_NAME_MAX];
+  char candidate[CFS_NAME_MAX];
   uint64_t fence;
-  uint64_t index;
-  uint64_t newest_term;
-  bool ordered;
-  char former[CFS_NAME_MAX];
-  int64_t pause_from;
-  int64_t since;
+  uint64_t log_index;
+  uint64_t max_term;
+  bool promotion_sent;
+  char former_primary[CFS_NAME_MAX];
+  int64_t pause_at;
+  int64_t phase_since;
   int64_t started_at;
   int64_t retry_at;
 };
@@ -76,14 +76,14 @@
 {
   const struct cfs_failover_ops *ops;
   void *ctx;
-  const struct cfs_target_adapter *edge;
+  const struct cfs_target_adapter *adapter;
   const struct cfs_state *state;
   int64_t (*clock) (void);
-  struct failover_state **reigns;
+  struct failover_state **services;
   size_t count;
   size_t cap;
-  bool leads;
-  int64_t led_since;
+  bool is_leader;
+  int64_t leader_since;
 };
 
 /* What the instances said so far. */
@@ -92,33 +92,32 @@
   size_t known;
   size_t paused;
   bool demoted;
-  struct probe *leads;
+  struct probe *primary;
 };
 
 /** failover_close_probe() - ends a connection; what it heard is kept */
 void failover_close_probe (struct probe *probe);
 
 /** failover_close_probes() - ends all connections of a change */
-void failover_close_probes (struct failover_state *failover_state);
+void failover_close_probes (struct failover_state *state);
 
 /** failover_watch_primary() - asks an instance whether it leads, notes its
  * answers
  */
 void failover_watch_primary (struct cfs_failover_manager *failover,
-                             struct failover_state *failover_state,
+                             struct failover_state *state,
                              const struct cfs_target *target, int64_t now);
 
 /** failover_poll_instances() - drives the questions to all instances and
  * counts their answers */
 struct probe_summary
 failover_poll_instances (struct cfs_failover_manager *failover,
-                         struct failover_state *failover_state, int64_t now);
+                         struct failover_state *state, int64_t now);
 
 /** failover_resume_replicas() - lets paused replicas receive again */
-void failover_resume_replicas (struct failover_state *failover_state,
-                               int64_t now);
+void failover_resume_replicas (struct failover_state *state, int64_t now);
 
 /** failover_query_pending() - whether an answer is due */
-bool failover_query_pending (const struct failover_state *failover_state);
+bool failover_query_pending (const struct failover_state *state);
 
 #endif
