--- a/src/connection/pool_target.c
+++ b/src/connection/pool_target.c
@@ -168,8 +168,8 @@
 const struct cfs_target *
 cfs_pool_primary (struct cfs_pool *p, const char *service, int64_t now)
 {
-  const struct cfs_target *t
-      = cfs_targets_primary (&p->fleet->targets, &p->fleet->turns, service);
+  const struct cfs_target *t = cfs_targets_primary (
+      &p->fleet->targets, &p->fleet->failovers, service);
   const struct target_state *s = t ? cfs_table_find (&p->states, t->id) : NULL;
 
   if (!t || (s && now < s->not_primary_until))
--- a/src/process/control.c
+++ b/src/process/control.c
@@ -18,7 +18,7 @@
 #define PART "control"
 #define HTTP_OK 200
 #define HTTP_UNAVAILABLE 503
-#define AUDIT_ROWS_MAX 500
+#define AUDIT_ENTRIES_MAX 500
 
 static int
 save_vote (void *ctx, uint64_t term, uint64_t vote)
@@ -98,7 +98,7 @@
   g_free (out);
   free (text);
   cJSON_Delete (line);
-  c->audited = v->number;
+  c->audited_version = v->number;
 }
 
 static void
@@ -109,7 +109,7 @@
 
   if (cfs_state_apply (&c->state, e->data, e->len, e->index) != CFS_OK)
     cfs_log (CFS_ERR, PART, "entry %" PRIu64 " is unknown", e->index);
-  if (c->state.version <= c->audited || c->state.version_count == 0)
+  if (c->state.version <= c->audited_version || c->state.version_count == 0)
     return;
   v = &c->state.versions[c->state.version_count - 1];
   write_audit (c, v);
@@ -127,7 +127,7 @@
 }
 
 static size_t
-image (void *ctx, uint8_t **data)
+encode_snapshot (void *ctx, uint8_t **data)
 {
   const struct cfs_control *c = ctx;
 
@@ -160,13 +160,14 @@
 
 static const struct cfs_raft_ops raft_ops
     = { save_vote, append, truncate_log, save_snapshot,
-        send_raft, apply,  restore,      image };
+        send_raft, apply,  restore,      encode_snapshot };
 
 static const struct cfs_leader_ops leader_ops = { propose };
 
 static void
-reply_call (struct cfs_control *c, const struct cfs_origin *to, uint64_t id,
-            uint32_t status, uint64_t version, const char *body)
+reply_operator (struct cfs_control *c, const struct cfs_origin *to,
+                uint64_t id, uint32_t status, uint64_t version,
+                const char *body)
 {
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__OperatorReply reply = CFS__OPERATOR_REPLY__INIT;
@@ -181,8 +182,8 @@
 }
 
 static void
-answer_patch (struct cfs_control *c, const struct pending *p,
-              const struct cfs_patch_result *r, bool in_force)
+reply_patch (struct cfs_control *c, const struct pending_patch *p,
+             const struct cfs_patch_result *r, bool in_force)
 {
   cJSON *doc = cJSON_CreateObject ();
   char *text;
@@ -193,24 +194,24 @@
   else
     cJSON_AddStringToObject (doc, "detail", r->message);
   text = cJSON_PrintUnformatted (doc);
-  reply_call (c, &p->origin, p->id, r->status, r->version, text);
+  reply_operator (c, &p->origin, p->id, r->status, r->version, text);
   free (text);
   cJSON_Delete (doc);
 }
 
 /* Answers a pending patch when it can be.  Returns whether it was. */
 static bool
-settle_patch (struct cfs_control *c, const struct pending *p, bool ready,
+finish_patch (struct cfs_control *c, const struct pending_patch *p, bool ready,
               int64_t now)
 {
   const struct cfs_patch_result *r
       = cfs_state_result (&c->state, p->request_id);
-  bool late = now - p->since > IN_FORCE_WAIT_US;
+  bool late = now - p->received_at > IN_FORCE_WAIT_US;
   bool in_force;
 
   if (!r && (late || !ready))
     {
-      reply_call (c, &p->origin, p->id, HTTP_UNAVAILABLE, 0, "{}");
+      reply_operator (c, &p->origin, p->id, HTTP_UNAVAILABLE, 0, "{}");
       return true;
     }
   if (!r)
@@ -218,73 +219,74 @@
   in_force = cfs_leader_in_force (c->leader, r->version, now);
   if (r->status == HTTP_OK && !in_force && !late && ready)
     return false;
-  answer_patch (c, p, r, in_force);
+  reply_patch (c, p, r, in_force);
   return true;
 }
 
 static void
-settle_pending (struct cfs_control *c, bool ready, int64_t now)
+finish_patches (struct cfs_control *c, bool ready, int64_t now)
 {
   size_t kept = 0;
 
-  for (size_t i = 0; i < c->count; i++)
-    if (settle_patch (c, &c->pending[i], ready, now))
+  for (size_t i = 0; i < c->pending_count; i++)
+    if (finish_patch (c, &c->pending[i], ready, now))
       free (c->pending[i].request_id);
     else
       c->pending[kept++] = c->pending[i];
-  c->count = kept;
+  c->pending_count = kept;
 }
 
 static void
-take_patch (struct cfs_control *c, const struct cfs_origin *from,
-            const Cfs__OperatorCall *call, int64_t now)
+handle_patch (struct cfs_control *c, const struct cfs_origin *from,
+              const Cfs__OperatorCall *request, int64_t now)
 {
   Cfs__Command cmd = CFS__COMMAND__INIT;
   Cfs__Patch patch = CFS__PATCH__INIT;
-  struct pending *p;
+  struct pending_patch *p;
 
-  cfs_grow (&c->pending, &c->cap, c->count, sizeof *c->pending);
-  p = &c->pending[c->count++];
+  cfs_grow (&c->pending, &c->pending_cap, c->pending_count,
+            sizeof *c->pending);
+  p = &c->pending[c->pending_count++];
   p->origin = *from;
-  p->id = call->id;
-  p->request_id = cfs_strdup (call->request_id);
-  p->since = now;
-  if (!cfs_state_result (&c->state, call->request_id))
+  p->id = request->id;
+  p->request_id = cfs_strdup (request->request_id);
+  p->received_at = now;
+  if (!cfs_state_result (&c->state, request->request_id))
     {
-      patch.base_version = call->base_version;
-      patch.patch = call->body;
-      patch.who = call->who;
-      patch.request_id = call->request_id;
+      patch.base_version = request->base_version;
+      patch.patch = request->body;
+      patch.who = request->who;
+      patch.request_id = request->request_id;
       patch.when_ms = cfs_wall_ms ();
       cmd.body_case = CFS__COMMAND__BODY_PATCH;
       cmd.patch = &patch;
       control_propose (c, &cmd);
     }
-  settle_pending (c, true, now);
+  finish_patches (c, true, now);
 }
 
 static char *
-audit_text (const struct cfs_control *c)
+audit_json (const struct cfs_control *c)
 {
   const struct cfs_state *s = &c->state;
   cJSON *list = cJSON_CreateArray ();
-  size_t skip = s->version_count > AUDIT_ROWS_MAX
-                    ? s->version_count - AUDIT_ROWS_MAX
+  size_t skip = s->version_count > AUDIT_ENTRIES_MAX
+                    ? s->version_count - AUDIT_ENTRIES_MAX
                     : 0;
   char *text;
 
   for (size_t i = skip; i < s->version_count; i++)
     {
       const struct cfs_version *v = &s->versions[i];
-      cJSON *row = cJSON_CreateObject ();
-
-      cJSON_AddNumberToObject (row, "version", (double)v->number);
-      cJSON_AddNumberToObject (row, "from", (double)v->number - 1);
-      cJSON_AddNumberToObject (row, "when_ms", (double)v->when_ms);
-      cJSON_AddStringToObject (row, "who", v->who);
-      cJSON_AddStringToObject (row, "request_id", v->request_id);
-      cJSON_AddItemToObject (row, "patch", cJSON_Parse (v->patch));
-      cJSON_AddItemToArray (list, row);
+      cJSON *item = cJSON_CreateObject ();
+
+      cJSON_AddNumberToObject (item, "version", (double)v->number);
+      cJSON_AddNumberToObject (item, "from", (double)v->number - 1);
+      cJSON_AddNumberToObject (item, "when_ms", (double)v->when_ms);
+      cJSON_AddStringToObject (item, "who", v->who);
+      cJSON_AddStringToObject (item, "request_id", v->request_id);
+      cJSON_AddItemToObject (item, "patch", cJSON_Parse (v->patch));
+      cJSON_AddItemToArray (list, item);
     }
   text = cJSON_PrintUnformatted (list);
   cJSON_Delete (list);
@@ -292,23 +294,23 @@
 }
 
 static void
-status_members (const struct cfs_control *c, cJSON *doc)
+add_members (const struct cfs_control *c, cJSON *doc)
 {
   const struct cfs_members *m = cfs_raft_members (c->raft);
   cJSON *list = cJSON_AddArrayToObject (doc, "members");
 
   for (size_t i = 0; i < m->count; i++)
     {
-      cJSON *row = cJSON_CreateObject ();
+      cJSON *item = cJSON_CreateObject ();
 
-      cJSON_AddStringToObject (row, "host", m->at[i].host);
-      cJSON_AddBoolToObject (row, "voter", m->at[i].voter);
-      cJSON_AddItemToArray (list, row);
+      cJSON_AddStringToObject (item, "host", m->at[i].host);
+      cJSON_AddBoolToObject (item, "voter", m->at[i].voter);
+      cJSON_AddItemToArray (list, item);
     }
 }
 
 static void
-status_hosts (const struct cfs_control *c, cJSON *doc, int64_t now)
+add_hosts (const struct cfs_control *c, cJSON *doc, int64_t now)
 {
   const struct cfs_table *hosts = cfs_leader_hosts (c->leader);
   cJSON *list = cJSON_AddArrayToObject (doc, "hosts");
@@ -316,19 +318,19 @@
   for (size_t i = 0; i < hosts->count; i++)
     {
       const struct cfs_host *h = cfs_table_at (hosts, i);
-      cJSON *row = cJSON_CreateObject ();
-
-      cJSON_AddStringToObject (row, "host", h->name);
-      cJSON_AddStringToObject (row, "zone", h->zone);
-      cJSON_AddNumberToObject (row, "version", (double)h->version);
-      cJSON_AddBoolToObject (row, "leased", now < h->lease_end);
-      cJSON_AddBoolToObject (row, "draining", h->draining);
-      cJSON_AddItemToArray (list, row);
+      cJSON *item = cJSON_CreateObject ();
+
+      cJSON_AddStringToObject (item, "host", h->name);
+      cJSON_AddStringToObject (item, "zone", h->zone);
+      cJSON_AddNumberToObject (item, "version", (double)h->version);
+      cJSON_AddBoolToObject (item, "leased", now < h->lease_end);
+      cJSON_AddBoolToObject (item, "draining", h->draining);
+      cJSON_AddItemToArray (list, item);
     }
 }
 
 static void
-status_groups (const struct cfs_control *c, cJSON *doc)
+add_groups (const struct cfs_control *c, cJSON *doc)
 {
   cJSON *leases = cJSON_AddArrayToObject (doc, "leases");
   cJSON *groups = cJSON_AddArrayToObject (doc, "groups");
@@ -336,27 +338,27 @@
   for (size_t i = 0; i < c->state.leases.count; i++)
     {
       const struct cfs_lease *l = cfs_table_at (&c->state.leases, i);
-      cJSON *row = cJSON_CreateObject ();
+      cJSON *item = cJSON_CreateObject ();
 
-      cJSON_AddStringToObject (row, "resource", l->resource);
-      cJSON_AddStringToObject (row, "host", l->holder);
-      cJSON_AddNumberToObject (row, "epoch", (double)l->epoch);
-      cJSON_AddItemToArray (leases, row);
+      cJSON_AddStringToObject (item, "resource", l->resource);
+      cJSON_AddStringToObject (item, "host", l->holder);
+      cJSON_AddNumberToObject (item, "epoch", (double)l->epoch);
+      cJSON_AddItemToArray (leases, item);
     }
   for (size_t i = 0; i < c->state.groups.count; i++)
     {
       const struct cfs_group *g = cfs_table_at (&c->state.groups, i);
-      cJSON *row = cJSON_CreateObject ();
+      cJSON *item = cJSON_CreateObject ();
 
-      cJSON_AddStringToObject (row, "group", g->name);
-      cJSON_AddNumberToObject (row, "term", (double)g->term);
-      cJSON_AddStringToObject (row, "primary", g->primary);
-      cJSON_AddItemToArray (groups, row);
+      cJSON_AddStringToObject (item, "group", g->name);
+      cJSON_AddNumberToObject (item, "term", (double)g->term);
+      cJSON_AddStringToObject (item, "primary", g->primary);
+      cJSON_AddItemToArray (groups, item);
     }
 }
 
 static char *
-status_text (const struct cfs_control *c, int64_t now)
+status_json (const struct cfs_control *c, int64_t now)
 {
   cJSON *doc = cJSON_CreateObject ();
   char *text;
@@ -366,44 +368,44 @@
   cJSON_AddNumberToObject (doc, "version", (double)c->state.version);
   cJSON_AddBoolToObject (
       doc, "in_force", cfs_leader_in_force (c->leader, c->state.version, now));
-  status_members (c, doc);
-  status_hosts (c, doc, now);
-  status_groups (c, doc);
+  add_members (c, doc);
+  add_hosts (c, doc, now);
+  add_groups (c, doc);
   text = cJSON_PrintUnformatted (doc);
   cJSON_Delete (doc);
   return text;
 }
 
 static void
-take_call (struct cfs_control *c, const struct cfs_origin *from,
-           const Cfs__OperatorCall *call, int64_t now)
+handle_operator_request (struct cfs_control *c, const struct cfs_origin *from,
+                         const Cfs__OperatorCall *request, int64_t now)
 {
   char *text;
 
   if (!cfs_raft_ready (c->raft, now))
     {
-      reply_call (c, from, call->id, HTTP_UNAVAILABLE, 0,
-                  cfs_raft_leader (c->raft));
+      reply_operator (c, from, request->id, HTTP_UNAVAILABLE, 0,
+                      cfs_raft_leader (c->raft));
       return;
     }
-  if (call->kind == OPERATOR_PATCH)
+  if (request->kind == OPERATOR_PATCH)
     {
-      take_patch (c, from, call, now);
+      handle_patch (c, from, request, now);
       return;
     }
-  if (call->kind == OPERATOR_CONFIG)
+  if (request->kind == OPERATOR_CONFIG)
     text = cfs_strdup (c->state.document);
-  else if (call->kind == OPERATOR_AUDIT)
-    text = audit_text (c);
+  else if (request->kind == OPERATOR_AUDIT)
+    text = audit_json (c);
   else
-    text = status_text (c, now);
-  reply_call (c, from, call->id, HTTP_OK, c->state.version, text);
+    text = status_json (c, now);
+  reply_operator (c, from, request->id, HTTP_OK, c->state.version, text);
   free (text);
 }
 
 static void
-take_heartbeat (struct cfs_control *c, const struct cfs_origin *from,
-                const Cfs__Heartbeat *in, int64_t now)
+handle_heartbeat (struct cfs_control *c, const struct cfs_origin *from,
+                  const Cfs__Heartbeat *in, int64_t now)
 {
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__HeartbeatReply denied = CFS__HEARTBEAT_REPLY__INIT;
@@ -422,8 +424,8 @@
 }
 
 static void
-take_ask (struct cfs_control *c, const struct cfs_origin *from,
-          const Cfs__TokensAsk *ask, int64_t now)
+handle_token_request (struct cfs_control *c, const struct cfs_origin *from,
+                      const Cfs__TokensAsk *request, int64_t now)
 {
   Cfs__Peer out = CFS__PEER__INIT;
 
@@ -431,7 +433,7 @@
     return;
   out.body_case = CFS__PEER__BODY_TOKENS_GRANT;
   out.tokens_grant
-      = (Cfs__TokensGrant *)cfs_leader_tokens (c->leader, ask, now);
+      = (Cfs__TokensGrant *)cfs_leader_tokens (c->leader, request, now);
   cfs_net_reply (c->net, from, &out);
 }
 
@@ -444,11 +446,11 @@
   if (msg->body_case == CFS__PEER__BODY_RAFT)
     cfs_raft_receive (c->raft, msg->raft, now);
   else if (msg->body_case == CFS__PEER__BODY_HEARTBEAT && from)
-    take_heartbeat (c, from, msg->heartbeat, now);
+    handle_heartbeat (c, from, msg->heartbeat, now);
   else if (msg->body_case == CFS__PEER__BODY_CALL && from)
-    take_call (c, from, msg->call, now);
+    handle_operator_request (c, from, msg->call, now);
   else if (msg->body_case == CFS__PEER__BODY_TOKENS_ASK && from)
-    take_ask (c, from, msg->tokens_ask, now);
+    handle_token_request (c, from, msg->tokens_ask, now);
 }
 
 uint64_t
@@ -458,7 +460,7 @@
 }
 
 static void
-genesis_members (const struct cfs_settings *s, struct cfs_members *m)
+bootstrap_members (const struct cfs_settings *s, struct cfs_members *m)
 {
   m->count = s->control_count;
   for (size_t i = 0; i < s->control_count; i++)
@@ -474,7 +476,7 @@
 {
   struct cfs_members members = { .count = 0 };
 
-  genesis_members (s, &members);
+  bootstrap_members (s, &members);
   return cfs_disk_format (s->data_folder, cfs_control_bootstrap_id (s->host),
                           &members, error);
 }
@@ -515,17 +517,17 @@
 {
   struct cfs_control *c = cfs_alloc (sizeof *c);
   struct cfs_raft_boot boot = { .id = 0 };
-  uint64_t fresh;
+  uint64_t new_id;
 
   c->settings = settings;
   c->loop = loop;
   cfs_state_init (&c->state);
-  randombytes_buf (&fresh, sizeof fresh);
+  randombytes_buf (&new_id, sizeof new_id);
   randombytes_buf (&boot.seed, sizeof boot.seed);
   boot.elastic = settings->by_seeds;
   control_fleet_init (c);
   if (prepare_folder (settings, error))
-    c->disk = cfs_disk_open (settings->data_folder, &boot, fresh | 2, error);
+    c->disk = cfs_disk_open (settings->data_folder, &boot, new_id | 2, error);
   if (!c->disk || !open_net (c, zmq, error))
     {
       cfs_control_free (c);
@@ -535,9 +537,9 @@
     {
       if (boot.count == 0)
         cfs_log (CFS_NOTICE, PART, "the data folder is new; asks to join");
-      genesis_members (settings, &boot.snapshot.members);
+      bootstrap_members (settings, &boot.snapshot.members);
     }
-  c->audited = cfs_disk_audited (c->disk);
+  c->audited_version = cfs_disk_audited (c->disk);
   c->leader = cfs_leader_new (&leader_ops, c, &c->state);
   c->raft = cfs_raft_new (&raft_ops, c, &boot, settings->host, cfs_now ());
   return c;
@@ -554,14 +556,14 @@
   cfs_state_end (&c->state);
   cfs_net_free (c->net);
   cfs_disk_close (c->disk);
-  for (size_t i = 0; i < c->count; i++)
+  for (size_t i = 0; i < c->pending_count; i++)
     free (c->pending[i].request_id);
   free (c->pending);
   free (c);
 }
 
 static void
-log_role (struct cfs_control *c)
+log_role_change (struct cfs_control *c)
 {
   enum cfs_raft_role role = cfs_raft_role (c->raft);
 
@@ -582,9 +584,9 @@
   cfs_raft_tick (c->raft, now);
   ready = cfs_raft_ready (c->raft, now);
   cfs_leader_tick (c->leader, ready, cfs_raft_commit (c->raft), now);
-  settle_pending (c, ready, now);
+  finish_patches (c, ready, now);
   control_fleet_tick (c, ready, now);
-  log_role (c);
+  log_role_change (c);
 }
 
 bool
--- a/src/process/control.h
+++ b/src/process/control.h
@@ -78,14 +78,14 @@
  * besides
  * @documents: decodes operators' documents
  * @targets: makes connections to instances
- * @order: orders an instance to lead; cfs_control_promotion_result() follows
+ * @promote: orders an instance to lead; cfs_control_promotion_result() follows
  */
 struct cfs_control_fleet_setup
 {
   const struct cfs_document_decoder *documents;
   const struct cfs_target_adapter *targets;
-  void (*order) (void *ctx, const char *service, const char *target,
-                 uint64_t fence);
+  void (*promote) (void *ctx, const char *service, const char *target,
+                   uint64_t fence);
   void *ctx;
 };
 
@@ -114,27 +114,27 @@
 /**
  * cfs_control_put_document() - makes a checked document the configuration
  * @number: its number; one that is not higher changes nothing
- * @ended: called once when it is committed, or when that is not known
+ * @on_result: called once when it is committed, or when that is not known
  *
- * Return: CFS_OK and @ended follows; CFS_NOT_LEADER or CFS_IO without it.
+ * Return: CFS_OK and @on_result follows; CFS_NOT_LEADER or CFS_IO without it.
  */
 int cfs_control_put_document (struct cfs_control *control, uint64_t number,
                               const char *body,
-                              void (*ended) (void *tag, bool done), void *tag,
-                              int64_t now);
+                              void (*on_result) (void *tag, bool committed),
+                              void *tag, int64_t now);
 
 /**
  * cfs_control_report_target() - takes what a target says of itself
  * @report: all fields but @changed
- * @ended: as above; called before the return when nothing changes
+ * @on_result: as above; called before the return when nothing changes
  *
- * Return: CFS_OK and @ended follows; CFS_BAD when a later incarnation is
+ * Return: CFS_OK and @on_result follows; CFS_BAD when a later incarnation is
  * known; CFS_NOT_LEADER or CFS_IO.
  */
 int cfs_control_report_target (struct cfs_control *control,
                                const struct cfs_target *report,
-                               void (*ended) (void *tag, bool done), void *tag,
-                               int64_t now);
+                               void (*on_result) (void *tag, bool committed),
+                               void *tag, int64_t now);
 
 /**
  * cfs_control_remove_target() - a target says that it is gone
@@ -142,7 +142,7 @@
  * Return: as of cfs_control_report_target().
  */
 int cfs_control_remove_target (struct cfs_control *control, const char *id,
-                               void (*ended) (void *tag, bool done), void *tag,
-                               int64_t now);
+                               void (*on_result) (void *tag, bool committed),
+                               void *tag, int64_t now);
 
 #endif
--- a/src/process/control_client.c
+++ b/src/process/control_client.c
@@ -16,21 +16,21 @@
 #include <string.h>
 
 #define PART "agent"
-#define CALL_RETRY_US (700 * CFS_US_PER_MS)
-#define CALL_REFUSED_US (50 * CFS_US_PER_MS)
+#define REQUEST_RETRY_US (700 * CFS_US_PER_MS)
+#define REQUEST_REFUSED_RETRY_US (50 * CFS_US_PER_MS)
 #define HTTP_UNAVAILABLE 503
 /* Time between heartbeats while targets are out of reach. */
 #define HEARTBEAT_SUSPECT_US (100 * CFS_US_PER_MS)
 /* Silence of the control group that is told. */
-#define LOST_US (1500 * CFS_US_PER_MS)
+#define CONTROL_LOST_US (1500 * CFS_US_PER_MS)
 /* Control hosts that are kept in mind: members and seeds. */
 #define PEERS_MAX 24
 
 /* A call on its way to the leader. */
-struct call
+struct forwarded_request
 {
-  Cfs__Peer *peer;
-  int64_t since;
+  Cfs__Peer *message;
+  int64_t received_at;
   int64_t sent_at;
   bool refused;
 };
@@ -41,13 +41,13 @@
   void *ctx;
   const struct cfs_settings *settings;
   struct cfs_net *net;
-  uint64_t boot;
+  uint64_t boot_id;
   uint64_t seq;
-  int64_t sent_at;
-  int64_t next_at;
-  bool answered;
-  bool lost;
-  int64_t heard_at;
+  int64_t heartbeat_sent_at;
+  int64_t next_heartbeat_at;
+  bool reply_received;
+  bool control_lost;
+  int64_t last_reply_at;
   struct cfs_peer peers[PEERS_MAX];
   size_t peer_count;
   size_t leader;
@@ -57,92 +57,92 @@
   char *document;
   Cfs__Peer *report;
   Cfs__Peer *uses;
-  Cfs__Peer **news;
-  size_t news_count;
-  size_t news_cap;
-  struct call *calls;
-  size_t call_count;
-  size_t call_cap;
+  Cfs__Peer **announcements;
+  size_t announcement_count;
+  size_t announcement_cap;
+  struct forwarded_request *requests;
+  size_t request_count;
+  size_t request_cap;
 };
 
 static void
-try_next_host (struct cfs_control_client *a)
+select_next_host (struct cfs_control_client *c)
 {
-  a->leader++;
-  if (a->leader >= a->peer_count)
-    a->leader = 0;
+  c->leader++;
+  if (c->leader >= c->peer_count)
+    c->leader = 0;
 }
 
 /* Control hosts found by seeds are named by their IP number. */
 static void
-add_peer (struct cfs_control_client *a, const char *name)
+add_peer (struct cfs_control_client *c, const char *name)
 {
   struct cfs_peer *p;
 
-  for (size_t i = 0; i < a->peer_count; i++)
-    if (strcmp (a->peers[i].host, name) == 0)
+  for (size_t i = 0; i < c->peer_count; i++)
+    if (strcmp (c->peers[i].host, name) == 0)
       return;
-  if (!a->settings->by_seeds || a->peer_count == PEERS_MAX)
+  if (!c->settings->by_seeds || c->peer_count == PEERS_MAX)
     return;
-  p = &a->peers[a->peer_count++];
+  p = &c->peers[c->peer_count++];
   cfs_copy (p->host, sizeof p->host, name);
   cfs_copy (p->address, sizeof p->address, name);
-  p->port = a->settings->peer_port;
+  p->port = c->settings->peer_port;
 }
 
 static void
-try_host (struct cfs_control_client *a, const char *name)
+select_host (struct cfs_control_client *c, const char *name)
 {
-  add_peer (a, name);
-  for (size_t i = 0; i < a->peer_count; i++)
-    if (strcmp (a->peers[i].host, name) == 0)
+  add_peer (c, name);
+  for (size_t i = 0; i < c->peer_count; i++)
+    if (strcmp (c->peers[i].host, name) == 0)
       {
-        a->leader = i;
+        c->leader = i;
         return;
       }
-  try_next_host (a);
+  select_next_host (c);
 }
 
 /* The members replace what is known besides the seeds. */
 static void
-take_members (struct cfs_control_client *a, const Cfs__HeartbeatReply *r)
+update_peers (struct cfs_control_client *c, const Cfs__HeartbeatReply *r)
 {
   char leader[CFS_NAME_MAX];
 
-  if (r->n_members == 0 || !a->settings->by_seeds)
+  if (r->n_members == 0 || !c->settings->by_seeds)
     return;
-  cfs_copy (leader, sizeof leader, a->peers[a->leader].host);
-  a->peer_count = 0;
+  cfs_copy (leader, sizeof leader, c->peers[c->leader].host);
+  c->peer_count = 0;
   for (size_t i = 0; i < r->n_members; i++)
-    add_peer (a, r->members[i]);
-  for (size_t i = 0; i < a->settings->control_count; i++)
-    add_peer (a, a->settings->control[i].host);
-  a->members_hash = r->members_hash;
-  try_host (a, leader);
+    add_peer (c, r->members[i]);
+  for (size_t i = 0; i < c->settings->control_count; i++)
+    add_peer (c, c->settings->control[i].host);
+  c->members_hash = r->members_hash;
+  select_host (c, leader);
 }
 
 static int
-send_to_leader (struct cfs_control_client *a, const Cfs__Peer *msg)
+send_to_leader (struct cfs_control_client *c, const Cfs__Peer *msg)
 {
-  const struct cfs_peer *p = &a->peers[a->leader];
+  const struct cfs_peer *p = &c->peers[c->leader];
 
-  return cfs_net_send (a->net, p->address, p->port, msg);
+  return cfs_net_send (c->net, p->address, p->port, msg);
 }
 
 static bool
-is_urgent (const struct cfs_control_client *a)
+is_urgent (const struct cfs_control_client *c)
 {
-  return a->report
-         && (a->report->heartbeat->n_reports
-             || a->report->heartbeat->n_released);
+  return c->report
+         && (c->report->heartbeat->n_reports
+             || c->report->heartbeat->n_released);
 }
 
 static int64_t
-heartbeat_wait (const struct cfs_control_client *a)
+heartbeat_interval (const struct cfs_control_client *c)
 {
-  if (is_urgent (a))
+  if (is_urgent (c))
     return HEARTBEAT_URGENT_US;
-  if (a->report && a->report->heartbeat->n_suspects)
+  if (c->report && c->report->heartbeat->n_suspects)
     return HEARTBEAT_SUSPECT_US;
   return HEARTBEAT_US;
 }
@@ -154,75 +154,75 @@
 }
 
 static void
-free_news (struct cfs_control_client *a)
+free_announcements (struct cfs_control_client *c)
 {
-  for (size_t i = 0; i < a->news_count; i++)
-    cfs__peer__free_unpacked (a->news[i], NULL);
-  a->news_count = 0;
+  for (size_t i = 0; i < c->announcement_count; i++)
+    cfs__peer__free_unpacked (c->announcements[i], NULL);
+  c->announcement_count = 0;
 }
 
 /* All announced instances since the last heartbeat, as one list. */
 static Cfs__Instance **
-collect_news (const struct cfs_control_client *a, size_t *count)
+collect_instances (const struct cfs_control_client *c, size_t *count)
 {
   Cfs__Instance **list;
   size_t n = 0;
 
-  for (size_t i = 0; i < a->news_count; i++)
-    n += a->news[i]->heartbeat->n_instances;
+  for (size_t i = 0; i < c->announcement_count; i++)
+    n += c->announcements[i]->heartbeat->n_instances;
   list = cfs_alloc (n * sizeof *list);
   *count = 0;
-  for (size_t i = 0; i < a->news_count; i++)
-    for (size_t j = 0; j < a->news[i]->heartbeat->n_instances; j++)
-      list[(*count)++] = a->news[i]->heartbeat->instances[j];
+  for (size_t i = 0; i < c->announcement_count; i++)
+    for (size_t j = 0; j < c->announcements[i]->heartbeat->n_instances; j++)
+      list[(*count)++] = c->announcements[i]->heartbeat->instances[j];
   return list;
 }
 
 /* One line when the control group stops answering, and one when it is back.
  */
 static void
-note_lost (struct cfs_control_client *a, int64_t now)
+log_control_lost (struct cfs_control_client *c, int64_t now)
 {
-  if (a->lost || now - a->heard_at < LOST_US)
+  if (c->control_lost || now - c->last_reply_at < CONTROL_LOST_US)
     return;
-  a->lost = true;
+  c->control_lost = true;
   cfs_log (CFS_WARNING, PART,
            "control group lost, last asked host=%s silent_ms=%" PRId64,
-           a->peers[a->leader].host, (now - a->heard_at) / CFS_US_PER_MS);
+           c->peers[c->leader].host, (now - c->last_reply_at) / CFS_US_PER_MS);
 }
 
 static void
-note_heard (struct cfs_control_client *a, int64_t now)
+record_reply (struct cfs_control_client *c, int64_t now)
 {
-  if (a->lost)
+  if (c->control_lost)
     cfs_log (CFS_NOTICE, PART, "control group is back, leader=%s",
-             a->peers[a->leader].host);
-  a->lost = false;
-  a->heard_at = now;
+             c->peers[c->leader].host);
+  c->control_lost = false;
+  c->last_reply_at = now;
 }
 
 static void
-send_heartbeat (struct cfs_control_client *a, int64_t now)
+send_heartbeat (struct cfs_control_client *c, int64_t now)
 {
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__Heartbeat h = CFS__HEARTBEAT__INIT;
 
-  if (!a->answered && a->seq)
+  if (!c->reply_received && c->seq)
     {
-      note_lost (a, now);
-      try_next_host (a);
+      log_control_lost (c, now);
+      select_next_host (c);
     }
-  h.host = (char *)a->settings->host;
-  h.zone = (char *)a->settings->zone;
-  h.address = (char *)a->settings->address;
-  h.port = a->settings->traffic_port;
-  h.boot = a->boot;
-  h.seq = ++a->seq;
-  h.version = a->version;
-  h.directory = a->directory;
-  if (a->report)
+  h.host = (char *)c->settings->host;
+  h.zone = (char *)c->settings->zone;
+  h.address = (char *)c->settings->address;
+  h.port = c->settings->traffic_port;
+  h.boot = c->boot_id;
+  h.seq = ++c->seq;
+  h.version = c->version;
+  h.directory = c->directory;
+  if (c->report)
     {
-      const Cfs__Heartbeat *r = a->report->heartbeat;
+      const Cfs__Heartbeat *r = c->report->heartbeat;
 
       h.draining = r->draining;
       h.released = r->released;
@@ -232,128 +232,129 @@
       h.suspects = r->suspects;
       h.n_suspects = r->n_suspects;
     }
-  if (a->uses)
+  if (c->uses)
     {
-      h.uses = a->uses->heartbeat->uses;
-      h.n_uses = a->uses->heartbeat->n_uses;
-      h.idle_us = a->uses->heartbeat->idle_us;
+      h.uses = c->uses->heartbeat->uses;
+      h.n_uses = c->uses->heartbeat->n_uses;
+      h.idle_us = c->uses->heartbeat->idle_us;
     }
-  h.members_hash = a->members_hash;
-  h.instances = collect_news (a, &h.n_instances);
+  h.members_hash = c->members_hash;
+  h.instances = collect_instances (c, &h.n_instances);
   out.body_case = CFS__PEER__BODY_HEARTBEAT;
   out.heartbeat = &h;
-  a->sent_at = now;
-  a->answered = false;
-  a->next_at = now + heartbeat_wait (a);
-  if (send_to_leader (a, &out) == CFS_OK)
+  c->heartbeat_sent_at = now;
+  c->reply_received = false;
+  c->next_heartbeat_at = now + heartbeat_interval (c);
+  if (send_to_leader (c, &out) == CFS_OK)
     {
-      free_news (a);
-      g_clear_pointer (&a->uses, free_peer);
+      free_announcements (c);
+      g_clear_pointer (&c->uses, free_peer);
     }
   else
-    a->next_at = now + HEARTBEAT_URGENT_US;
+    c->next_heartbeat_at = now + HEARTBEAT_URGENT_US;
   free (h.instances);
 }
 
 /* Brings the document to the reply's version.  Returns whether it could. */
 static bool
-take_versions (struct cfs_control_client *a, Cfs__HeartbeatReply *r)
+apply_versions (struct cfs_control_client *c, Cfs__HeartbeatReply *r)
 {
-  if (r->version == a->version)
+  if (r->version == c->version)
     return true;
-  if (r->version < a->version)
+  if (r->version < c->version)
     return false;
   if (*r->document)
     {
-      free (a->document);
-      a->document = cfs_strdup (r->document);
-      a->version = r->version;
+      free (c->document);
+      c->document = cfs_strdup (r->document);
+      c->version = r->version;
       return true;
     }
   for (size_t i = 0; i < r->n_versions; i++)
     {
       char *next;
 
-      if (r->versions[i]->number != a->version + 1)
+      if (r->versions[i]->number != c->version + 1)
         continue;
-      next = cfs_conf_patch (a->document, r->versions[i]->patch, NULL);
+      next = cfs_conf_patch (c->document, r->versions[i]->patch, NULL);
       if (!next)
         return false;
-      free (a->document);
-      a->document = next;
-      a->version++;
+      free (c->document);
+      c->document = next;
+      c->version++;
     }
-  return a->version == r->version;
+  return c->version == r->version;
 }
 
 /* Where sessions are served the lease covers the configuration, which a
    reply of the leader confirms; else it covers gates and limiters. */
 static int64_t
-lease_end (const struct cfs_control_client *a, const Cfs__HeartbeatReply *r)
+lease_end (const struct cfs_control_client *c, const Cfs__HeartbeatReply *r)
 {
-  if (a->settings->by_seeds)
-    return a->sent_at + a->settings->document_lease_us;
-  return r->granted ? a->sent_at + LEASE_US : 0;
+  if (c->settings->by_seeds)
+    return c->heartbeat_sent_at + c->settings->document_lease_us;
+  return r->granted ? c->heartbeat_sent_at + LEASE_US : 0;
 }
 
 static void
-take_reply (struct cfs_control_client *a, Cfs__HeartbeatReply *r, int64_t now)
+handle_reply (struct cfs_control_client *c, Cfs__HeartbeatReply *r,
+              int64_t now)
 {
-  uint64_t had = a->version;
-  char *sent = r->document;
+  uint64_t old_version = c->version;
+  char *reply_document = r->document;
 
-  if (r->seq != a->seq)
+  if (r->seq != c->seq)
     return;
   if (!*r->leader && !r->granted && r->version == 0)
     {
-      try_next_host (a);
-      a->next_at = now + HEARTBEAT_URGENT_US;
-      a->answered = true;
+      select_next_host (c);
+      c->next_heartbeat_at = now + HEARTBEAT_URGENT_US;
+      c->reply_received = true;
       return;
     }
   else if (*r->leader)
     {
-      try_host (a, r->leader);
-      a->next_at = now;
+      select_host (c, r->leader);
+      c->next_heartbeat_at = now;
     }
-  a->answered = true;
-  if (*r->leader || !take_versions (a, r))
+  c->reply_received = true;
+  if (*r->leader || !apply_versions (c, r))
     return;
-  note_heard (a, now);
-  if (r->directory > a->directory)
-    a->directory = r->directory;
-  take_members (a, r);
-  r->lease_until_us = lease_end (a, r);
-  r->document = a->version != had ? a->document : (char *)"";
-  a->ops->renewed (a->ctx, r);
-  r->document = sent;
-  if (a->version != had)
-    cfs_log (CFS_INFO, PART, "holds version %" PRIu64, a->version);
+  record_reply (c, now);
+  if (r->directory > c->directory)
+    c->directory = r->directory;
+  update_peers (c, r);
+  r->lease_until_us = lease_end (c, r);
+  r->document = c->version != old_version ? c->document : (char *)"";
+  c->ops->renewed (c->ctx, r);
+  r->document = reply_document;
+  if (c->version != old_version)
+    cfs_log (CFS_INFO, PART, "holds version %" PRIu64, c->version);
 }
 
 static void
-drop_call (struct cfs_control_client *a, size_t i)
+remove_request (struct cfs_control_client *c, size_t i)
 {
-  cfs__peer__free_unpacked (a->calls[i].peer, NULL);
-  a->calls[i] = a->calls[--a->call_count];
+  cfs__peer__free_unpacked (c->requests[i].message, NULL);
+  c->requests[i] = c->requests[--c->request_count];
 }
 
 static void
-take_called (struct cfs_control_client *a, Cfs__OperatorReply *r)
+handle_operator_reply (struct cfs_control_client *c, Cfs__OperatorReply *r)
 {
-  for (size_t i = 0; i < a->call_count; i++)
+  for (size_t i = 0; i < c->request_count; i++)
     {
-      if (a->calls[i].peer->call->id != r->id)
+      if (c->requests[i].message->call->id != r->id)
         continue;
       if (r->status == HTTP_UNAVAILABLE)
         {
-          try_host (a, r->body);
-          a->calls[i].sent_at = cfs_now ();
-          a->calls[i].refused = true;
+          select_host (c, r->body);
+          c->requests[i].sent_at = cfs_now ();
+          c->requests[i].refused = true;
           return;
         }
-      a->ops->called (a->ctx, r);
-      drop_call (a, i);
+      c->ops->operator_replied (c->ctx, r);
+      remove_request (c, i);
       return;
     }
 }
@@ -361,149 +362,152 @@
 static void
 receive (void *ctx, const struct cfs_origin *from, const Cfs__Peer *msg)
 {
-  struct cfs_control_client *a = ctx;
+  struct cfs_control_client *c = ctx;
 
   (void)from;
   if (msg->body_case == CFS__PEER__BODY_REPLY)
-    take_reply (a, msg->reply, cfs_now ());
+    handle_reply (c, msg->reply, cfs_now ());
   else if (msg->body_case == CFS__PEER__BODY_CALLED)
-    take_called (a, msg->called);
+    handle_operator_reply (c, msg->called);
   else if (msg->body_case == CFS__PEER__BODY_TOKENS_GRANT)
-    a->ops->tokens (a->ctx, msg->tokens_grant);
+    c->ops->tokens (c->ctx, msg->tokens_grant);
 }
 
 struct cfs_control_client *
 cfs_control_client_new (const struct cfs_control_client_ops *ops, void *ctx,
-                        const struct cfs_settings *settings, uint64_t boot,
+                        const struct cfs_settings *settings, uint64_t boot_id,
                         void *zmq, struct cfs_loop *loop)
 {
-  struct cfs_control_client *a = cfs_alloc (sizeof *a);
+  struct cfs_control_client *c = cfs_alloc (sizeof *c);
   struct cfs_net_setup setup = { .zmq = zmq,
                                  .public_key = settings->curve_public,
                                  .secret_key = settings->curve_secret,
                                  .receive = receive,
-                                 .ctx = a };
-
-  a->ops = ops;
-  a->ctx = ctx;
-  a->settings = settings;
-  a->document = cfs_strdup ("{}");
-  a->boot = boot;
-  a->heard_at = cfs_now ();
-  a->peer_count = settings->control_count;
-  memcpy (a->peers, settings->control,
-          settings->control_count * sizeof a->peers[0]);
-  a->net = cfs_net_new (&setup, loop);
-  return a;
+                                 .ctx = c };
+
+  c->ops = ops;
+  c->ctx = ctx;
+  c->settings = settings;
+  c->document = cfs_strdup ("{}");
+  c->boot_id = boot_id;
+  c->last_reply_at = cfs_now ();
+  c->peer_count = settings->control_count;
+  memcpy (c->peers, settings->control,
+          settings->control_count * sizeof c->peers[0]);
+  c->net = cfs_net_new (&setup, loop);
+  return c;
 }
 
 void
-cfs_control_client_free (struct cfs_control_client *a)
+cfs_control_client_free (struct cfs_control_client *c)
 {
-  if (!a)
+  if (!c)
     return;
-  while (a->call_count)
-    drop_call (a, 0);
-  free_news (a);
-  if (a->report)
-    cfs__peer__free_unpacked (a->report, NULL);
-  g_clear_pointer (&a->uses, free_peer);
-  cfs_net_free (a->net);
-  free (a->calls);
-  free (a->news);
-  free (a->document);
-  free (a);
+  while (c->request_count)
+    remove_request (c, 0);
+  free_announcements (c);
+  if (c->report)
+    cfs__peer__free_unpacked (c->report, NULL);
+  g_clear_pointer (&c->uses, free_peer);
+  cfs_net_free (c->net);
+  free (c->requests);
+  free (c->announcements);
+  free (c->document);
+  free (c);
 }
 
 void
-cfs_control_client_report (struct cfs_control_client *a, Cfs__Peer *report)
+cfs_control_client_report (struct cfs_control_client *c, Cfs__Peer *report)
 {
   if (report->heartbeat->n_instances)
     {
-      cfs_grow (&a->news, &a->news_cap, a->news_count, sizeof *a->news);
-      a->news[a->news_count++] = report;
+      cfs_grow (&c->announcements, &c->announcement_cap, c->announcement_count,
+                sizeof *c->announcements);
+      c->announcements[c->announcement_count++] = report;
       return;
     }
   if (report->heartbeat->n_uses)
     {
-      g_clear_pointer (&a->uses, free_peer);
-      a->uses = report;
-      a->next_at = 0;
+      g_clear_pointer (&c->uses, free_peer);
+      c->uses = report;
+      c->next_heartbeat_at = 0;
       return;
     }
-  if (a->report)
-    cfs__peer__free_unpacked (a->report, NULL);
-  a->report = report;
-  if (is_urgent (a) || report->heartbeat->n_suspects)
-    a->next_at = 0;
+  if (c->report)
+    cfs__peer__free_unpacked (c->report, NULL);
+  c->report = report;
+  if (is_urgent (c) || report->heartbeat->n_suspects)
+    c->next_heartbeat_at = 0;
 }
 
 void
-cfs_control_client_forward (struct cfs_control_client *a, Cfs__Peer *call,
+cfs_control_client_forward (struct cfs_control_client *c, Cfs__Peer *request,
                             int64_t now)
 {
-  struct call *c;
-
-  cfs_grow (&a->calls, &a->call_cap, a->call_count, sizeof *a->calls);
-  c = &a->calls[a->call_count++];
-  c->peer = call;
-  c->since = now;
-  c->sent_at = 0;
+  struct forwarded_request *q;
+
+  cfs_grow (&c->requests, &c->request_cap, c->request_count,
+            sizeof *c->requests);
+  q = &c->requests[c->request_count++];
+  q->message = request;
+  q->received_at = now;
+  q->sent_at = 0;
 }
 
 void
-cfs_control_client_request_tokens (struct cfs_control_client *a,
-                                   const Cfs__Peer *ask)
+cfs_control_client_request_tokens (struct cfs_control_client *c,
+                                   const Cfs__Peer *request)
 {
-  send_to_leader (a, ask);
+  send_to_leader (c, request);
 }
 
 /* A patch is answered only once it is in force, others at once. */
 static int64_t
-call_patience (const struct call *c)
+retry_interval (const struct forwarded_request *q)
 {
-  if (c->refused)
-    return CALL_REFUSED_US;
-  if (c->peer->call->kind == OPERATOR_PATCH)
+  if (q->refused)
+    return REQUEST_REFUSED_RETRY_US;
+  if (q->message->call->kind == OPERATOR_PATCH)
     return IN_FORCE_WAIT_US + CFS_US_PER_S;
-  return CALL_RETRY_US;
+  return REQUEST_RETRY_US;
 }
 
 static void
-tick_calls (struct cfs_control_client *a, int64_t now)
+tick_requests (struct cfs_control_client *c, int64_t now)
 {
-  for (size_t i = a->call_count; i > 0; i--)
+  for (size_t i = c->request_count; i > 0; i--)
     {
-      struct call *c = &a->calls[i - 1];
-      Cfs__OperatorReply late = CFS__OPERATOR_REPLY__INIT;
+      struct forwarded_request *q = &c->requests[i - 1];
+      Cfs__OperatorReply timed_out = CFS__OPERATOR_REPLY__INIT;
 
-      if (now - c->since > OPERATOR_REQUEST_TIMEOUT_US)
+      if (now - q->received_at > OPERATOR_REQUEST_TIMEOUT_US)
         {
-          late.id = c->peer->call->id;
-          late.status = HTTP_UNAVAILABLE;
-          late.body = (char *)"{\"detail\":\"no control leader answered\"}";
-          a->ops->called (a->ctx, &late);
-          drop_call (a, i - 1);
+          timed_out.id = q->message->call->id;
+          timed_out.status = HTTP_UNAVAILABLE;
+          timed_out.body
+              = (char *)"{\"detail\":\"no control leader answered\"}";
+          c->ops->operator_replied (c->ctx, &timed_out);
+          remove_request (c, i - 1);
         }
-      else if (c->sent_at == 0 || now - c->sent_at > call_patience (c))
+      else if (q->sent_at == 0 || now - q->sent_at > retry_interval (q))
         {
-          if (send_to_leader (a, c->peer) == CFS_OK)
-            c->sent_at = now;
-          c->refused = false;
+          if (send_to_leader (c, q->message) == CFS_OK)
+            q->sent_at = now;
+          q->refused = false;
         }
     }
 }
 
 void
-cfs_control_client_tick (struct cfs_control_client *a, int64_t now)
+cfs_control_client_tick (struct cfs_control_client *c, int64_t now)
 {
-  if (now >= a->next_at)
-    send_heartbeat (a, now);
-  tick_calls (a, now);
+  if (now >= c->next_heartbeat_at)
+    send_heartbeat (c, now);
+  tick_requests (c, now);
 }
 
 void
-cfs_control_client_pump (struct cfs_control_client *a)
+cfs_control_client_pump (struct cfs_control_client *c)
 {
-  cfs_net_pump (a->net);
+  cfs_net_pump (c->net);
 }
--- a/src/process/control_fleet.c
+++ b/src/process/control_fleet.c
@@ -13,66 +13,67 @@
 
 #define PART "control"
 /* An order that is not committed by then is left without a clear answer. */
-#define ORDER_MAX_US (5 * CFS_US_PER_S)
+#define COMMIT_TIMEOUT_US (5 * CFS_US_PER_S)
 /* A target that was silent for longer counts as lost. */
 #define TARGET_LOST_US (30 * CFS_US_PER_S)
 
 void
 control_fleet_init (struct cfs_control *c)
 {
-  cfs_table_init (&c->fleet.beats, sizeof (struct beat));
+  cfs_table_init (&c->fleet.heartbeats, sizeof (struct target_heartbeat));
 }
 
 void
 control_fleet_end (struct cfs_control *c)
 {
   cfs_failover_free (c->fleet.failover);
-  free (c->fleet.orders);
-  cfs_table_end (&c->fleet.beats);
+  free (c->fleet.waiters);
+  cfs_table_end (&c->fleet.heartbeats);
 }
 
 static int
-wait_for (struct cfs_control *c, uint64_t index,
-          void (*ended) (void *tag, bool done), void *tag, int64_t now)
+await_commit (struct cfs_control *c, uint64_t log_index,
+              void (*on_result) (void *tag, bool committed), void *tag,
+              int64_t now)
 {
-  struct fleet_part *f = &c->fleet;
-  struct order *o;
+  struct fleet_state *f = &c->fleet;
+  struct commit_waiter *w;
 
-  if (!index)
+  if (!log_index)
     return CFS_IO;
-  cfs_grow (&f->orders, &f->cap, f->count, sizeof *f->orders);
-  o = &f->orders[f->count++];
-  o->index = index;
-  o->term = cfs_raft_term (c->raft);
-  o->since = now;
-  o->ended = ended;
-  o->tag = tag;
+  cfs_grow (&f->waiters, &f->waiter_cap, f->waiter_count, sizeof *f->waiters);
+  w = &f->waiters[f->waiter_count++];
+  w->log_index = log_index;
+  w->term = cfs_raft_term (c->raft);
+  w->started_at = now;
+  w->on_result = on_result;
+  w->tag = tag;
   return CFS_OK;
 }
 
 /* An entry of this term that the leader of the same term has committed is
    the one that was appended here. */
 static void
-settle_orders (struct cfs_control *c, bool ready, int64_t now)
+finish_waiters (struct cfs_control *c, bool ready, int64_t now)
 {
-  struct fleet_part *f = &c->fleet;
+  struct fleet_state *f = &c->fleet;
   size_t kept = 0;
-  bool led = cfs_raft_role (c->raft) == RAFT_LEADER;
+  bool is_leader = cfs_raft_role (c->raft) == RAFT_LEADER;
 
   (void)ready;
-  for (size_t i = 0; i < f->count; i++)
+  for (size_t i = 0; i < f->waiter_count; i++)
     {
-      struct order *o = &f->orders[i];
-      bool lost = !led || o->term != cfs_raft_term (c->raft);
+      struct commit_waiter *w = &f->waiters[i];
+      bool lost = !is_leader || w->term != cfs_raft_term (c->raft);
 
-      if (!lost && cfs_raft_commit (c->raft) >= o->index)
-        o->ended (o->tag, true);
-      else if (lost || now - o->since > ORDER_MAX_US)
-        o->ended (o->tag, false);
+      if (!lost && cfs_raft_commit (c->raft) >= w->log_index)
+        w->on_result (w->tag, true);
+      else if (lost || now - w->started_at > COMMIT_TIMEOUT_US)
+        w->on_result (w->tag, false);
       else
-        f->orders[kept++] = *o;
+        f->waiters[kept++] = *w;
     }
-  f->count = kept;
+  f->waiter_count = kept;
 }
 
 static uint64_t
@@ -88,28 +89,28 @@
            "target=%s service=%s address=%s zone=%s primary=%d draining=%d "
            "gone=%d born=%" PRIu64 " sequence=%" PRIu64 " is recorded",
            t->id, t->service, t->address, t->zone, t->primary, t->draining,
-           t->gone, t->born, t->sequence);
+           t->gone, t->incarnation, t->sequence);
   return control_propose (c, &cmd);
 }
 
 static void
-drop_silent (struct cfs_control *c, int64_t now)
+drop_silent_targets (struct cfs_control *c, int64_t now)
 {
   const struct cfs_table *targets = &c->state.targets;
 
-  if (now - c->fleet.led_since < TARGET_LOST_US)
+  if (now - c->fleet.leader_since < TARGET_LOST_US)
     return;
   for (size_t i = 0; i < targets->count; i++)
     {
       struct cfs_target t = *(struct cfs_target *)cfs_table_at (targets, i);
-      struct beat *b = cfs_table_add (&c->fleet.beats, t.id);
-      int64_t heard = b->heard_at ? b->heard_at : c->fleet.led_since;
+      struct target_heartbeat *b = cfs_table_add (&c->fleet.heartbeats, t.id);
+      int64_t heard = b->received_at ? b->received_at : c->fleet.leader_since;
 
       if (t.gone || t.primary || now - heard < TARGET_LOST_US)
         continue;
       t.gone = true;
       t.sequence++;
-      b->heard_at = now;
+      b->received_at = now;
       propose_target (c, &t);
     }
 }
@@ -117,23 +118,23 @@
 void
 control_fleet_tick (struct cfs_control *c, bool ready, int64_t now)
 {
-  struct fleet_part *f = &c->fleet;
+  struct fleet_state *f = &c->fleet;
 
-  settle_orders (c, ready, now);
-  if (ready && !f->leading)
+  finish_waiters (c, ready, now);
+  if (ready && !f->is_leader)
     {
-      f->led_since = now;
-      f->beats.count = 0;
+      f->leader_since = now;
+      f->heartbeats.count = 0;
     }
-  f->leading = ready;
+  f->is_leader = ready;
   if (ready)
-    drop_silent (c, now);
+    drop_silent_targets (c, now);
   if (f->failover)
     cfs_failover_tick (f->failover, ready, cfs_raft_commit (c->raft), now);
 }
 
 static uint64_t
-propose_turn (void *ctx, const Cfs__Turn *turn)
+propose_failover (void *ctx, const Cfs__Turn *turn)
 {
   Cfs__Command cmd = CFS__COMMAND__INIT;
 
@@ -143,15 +144,15 @@
 }
 
 static void
-order (void *ctx, const char *service, const char *target, uint64_t fence)
+promote (void *ctx, const char *service, const char *target, uint64_t fence)
 {
   const struct cfs_control *c = ctx;
 
-  c->fleet.setup.order (c->fleet.setup.ctx, service, target, fence);
+  c->fleet.setup.promote (c->fleet.setup.ctx, service, target, fence);
 }
 
 static size_t
-suspected (void *ctx, const char *target, size_t *hosts)
+suspecting_hosts (void *ctx, const char *target, size_t *hosts)
 {
   const struct cfs_control *c = ctx;
 
@@ -159,7 +160,7 @@
 }
 
 static const struct cfs_failover_ops failover_ops
-    = { propose_turn, order, suspected };
+    = { propose_failover, promote, suspecting_hosts };
 
 void
 cfs_control_serve_fleet (struct cfs_control *c,
@@ -215,8 +216,8 @@
 int
 cfs_control_put_document (struct cfs_control *c, uint64_t number,
                           const char *body,
-                          void (*ended) (void *tag, bool done), void *tag,
-                          int64_t now)
+                          void (*on_result) (void *tag, bool committed),
+                          void *tag, int64_t now)
 {
   Cfs__Command cmd = CFS__COMMAND__INIT;
   Cfs__Document d = CFS__DOCUMENT__INIT;
@@ -228,89 +229,94 @@
   d.when_ms = cfs_wall_ms ();
   cmd.body_case = CFS__COMMAND__BODY_DOCUMENT;
   cmd.document = &d;
-  return wait_for (c, control_propose (c, &cmd), ended, tag, now);
+  return await_commit (c, control_propose (c, &cmd), on_result, tag, now);
 }
 
 static bool
-is_changed (const struct cfs_target *row, const struct cfs_target *report)
+affects_routing (const struct cfs_target *known,
+                 const struct cfs_target *report)
 {
-  return !row || row->born != report->born || row->gone
-         || row->primary != report->primary
-         || row->draining != report->draining || row->slots != report->slots
-         || strcmp (row->address, report->address) != 0
-         || strcmp (row->service, report->service) != 0
-         || strcmp (row->zone, report->zone) != 0;
+  return !known || known->incarnation != report->incarnation || known->gone
+         || known->primary != report->primary
+         || known->draining != report->draining
+         || known->slots != report->slots
+         || strcmp (known->address, report->address) != 0
+         || strcmp (known->service, report->service) != 0
+         || strcmp (known->zone, report->zone) != 0;
 }
 
 /* Notes the report.  Returns whether it is the newest of its sender. */
 static bool
-note_beat (struct cfs_control *c, const struct cfs_target *report, int64_t now)
+record_heartbeat (struct cfs_control *c, const struct cfs_target *report,
+                  int64_t now)
 {
-  struct beat *b = cfs_table_add (&c->fleet.beats, report->id);
+  struct target_heartbeat *b
+      = cfs_table_add (&c->fleet.heartbeats, report->id);
 
-  if (report->born < b->born
-      || (report->born == b->born && report->sequence <= b->sequence))
+  if (report->incarnation < b->incarnation
+      || (report->incarnation == b->incarnation
+          && report->sequence <= b->sequence))
     return false;
-  b->born = report->born;
+  b->incarnation = report->incarnation;
   b->sequence = report->sequence;
-  b->heard_at = now;
+  b->received_at = now;
   return true;
 }
 
 int
 cfs_control_report_target (struct cfs_control *c,
                            const struct cfs_target *report,
-                           void (*ended) (void *tag, bool done), void *tag,
-                           int64_t now)
+                           void (*on_result) (void *tag, bool committed),
+                           void *tag, int64_t now)
 {
-  const struct cfs_target *row
+  const struct cfs_target *known
       = cfs_table_find (&c->state.targets, report->id);
   struct cfs_target next = *report;
   bool newest;
 
   if (!cfs_raft_ready (c->raft, now))
     return CFS_NOT_LEADER;
-  if (row && report->born < row->born)
+  if (known && report->incarnation < known->incarnation)
     return CFS_BAD;
-  newest = note_beat (c, report, now);
-  if (row && row->born == report->born)
+  newest = record_heartbeat (c, report, now);
+  if (known && known->incarnation == report->incarnation)
     {
-      if (row->gone && report->sequence <= row->sequence)
+      if (known->gone && report->sequence <= known->sequence)
         return CFS_BAD;
-      if (next.sequence <= row->sequence)
-        next.sequence = row->sequence + 1;
-      next.draining |= row->draining;
+      if (next.sequence <= known->sequence)
+        next.sequence = known->sequence + 1;
+      next.draining |= known->draining;
       if (!newest)
-        next.primary = row->primary;
+        next.primary = known->primary;
     }
-  if (!is_changed (row, &next))
+  if (!affects_routing (known, &next))
     {
-      ended (tag, true);
+      on_result (tag, true);
       return CFS_OK;
     }
-  return wait_for (c, propose_target (c, &next), ended, tag, now);
+  return await_commit (c, propose_target (c, &next), on_result, tag, now);
 }
 
 int
 cfs_control_remove_target (struct cfs_control *c, const char *id,
-                           void (*ended) (void *tag, bool done), void *tag,
-                           int64_t now)
+                           void (*on_result) (void *tag, bool committed),
+                           void *tag, int64_t now)
 {
-  const struct cfs_target *row = cfs_table_find (&c->state.targets, id);
-  const struct beat *b = cfs_table_find (&c->fleet.beats, id);
+  const struct cfs_target *known = cfs_table_find (&c->state.targets, id);
+  const struct target_heartbeat *b = cfs_table_find (&c->fleet.heartbeats, id);
   struct cfs_target next;
 
   if (!cfs_raft_ready (c->raft, now))
     return CFS_NOT_LEADER;
-  if (!row || row->gone)
+  if (!known || known->gone)
     {
-      ended (tag, true);
+      on_result (tag, true);
       return CFS_OK;
     }
-  next = *row;
+  next = *known;
   next.gone = true;
-  if (b && b->born == next.born && b->sequence > next.sequence)
+  if (b && b->incarnation == next.incarnation && b->sequence > next.sequence)
     next.sequence = b->sequence;
   next.sequence++;
-  return wait_for (c, propose_target (c, &next), ended, tag, now);
+  return await_commit (c, propose_target (c, &next), on_result, tag, now);
 }
--- a/src/process/control_int.h
+++ b/src/process/control_int.h
@@ -12,45 +12,45 @@
 #include "raft.h"
 #include "state.h"
 
-/** struct order - a change in the log that somebody waits for */
-struct order
+/** struct commit_waiter - a change in the log that somebody waits for */
+struct commit_waiter
 {
-  uint64_t index;
+  uint64_t log_index;
   uint64_t term;
-  int64_t since;
-  void (*ended) (void *tag, bool done);
+  int64_t started_at;
+  void (*on_result) (void *tag, bool committed);
   void *tag;
 };
 
-/** struct beat - when a target was last heard; not replicated */
-struct beat
+/** struct target_heartbeat - when a target was last heard; not replicated */
+struct target_heartbeat
 {
   char id[CFS_NAME_MAX];
-  uint64_t born;
+  uint64_t incarnation;
   uint64_t sequence;
-  int64_t heard_at;
+  int64_t received_at;
 };
 
-/** struct fleet_part - documents and targets at the control leader */
-struct fleet_part
+/** struct fleet_state - documents and targets at the control leader */
+struct fleet_state
 {
-  struct order *orders;
-  size_t count;
-  size_t cap;
-  struct cfs_table beats;
-  bool leading;
-  int64_t led_since;
+  struct commit_waiter *waiters;
+  size_t waiter_count;
+  size_t waiter_cap;
+  struct cfs_table heartbeats;
+  bool is_leader;
+  int64_t leader_since;
   struct cfs_control_fleet_setup setup;
   struct cfs_failover_manager *failover;
 };
 
 /* A patch whose answer is not decided yet. */
-struct pending
+struct pending_patch
 {
   struct cfs_origin origin;
   uint64_t id;
   char *request_id;
-  int64_t since;
+  int64_t received_at;
 };
 
 struct cfs_control
@@ -62,12 +62,12 @@
   struct cfs_raft *raft;
   struct cfs_state state;
   struct cfs_leader *leader;
-  struct pending *pending;
-  size_t count;
-  size_t cap;
-  uint64_t audited;
+  struct pending_patch *pending;
+  size_t pending_count;
+  size_t pending_cap;
+  uint64_t audited_version;
   enum cfs_raft_role logged_role;
-  struct fleet_part fleet;
+  struct fleet_state fleet;
 };
 
 /** control_propose() - appends a command; returns its index or 0 */
--- a/src/process/core.c
+++ b/src/process/core.c
@@ -68,7 +68,7 @@
 serve_fleet (struct core *c, const struct cfs_settings *settings)
 {
   struct cfs_control_fleet_setup setup
-      = { .documents = &document_edge, .order = order, .ctx = c };
+      = { .documents = &document_edge, .promote = order, .ctx = c };
 
   c->targets = instances_edge_new (c->loop);
   c->promotion = promotion_new (settings->promotion_address, settings->host,
--- a/src/process/failover.c
+++ b/src/process/failover.c
@@ -133,7 +133,7 @@
 enter_phase (struct failover_state *f, enum failover_phase phase, int64_t now)
 {
   f->phase = phase;
-  f->phase_since = now;
+  f->phase_started_at = now;
 }
 
 /* Puts a new token into the log; everything starts over from there. */
@@ -270,13 +270,13 @@
       send_promotion (m, f, choose_candidate (m, f, now), now);
       return;
     }
-  if (now - f->phase_since < PAUSE_TIMEOUT_US)
+  if (now - f->phase_started_at < PAUSE_TIMEOUT_US)
     return;
   log_unpaused (f);
   if (f->promotion_sent || c.demoted || !primary
       || failover_reason (m, f, primary, now))
     {
-      f->phase_since = now;
+      f->phase_started_at = now;
       return;
     }
   cfs_log (CFS_NOTICE, PART, "service=%s change given up, target=%s leads",
@@ -309,7 +309,7 @@
 {
   if (committed >= f->log_index)
     begin_pausing (m, f, now);
-  else if (now - f->phase_since > COMMIT_TIMEOUT_US)
+  else if (now - f->phase_started_at > COMMIT_TIMEOUT_US)
     enter_phase (f, PHASE_MONITORING, now);
 }
 
@@ -317,7 +317,7 @@
 run_closing (struct failover_state *f, uint64_t committed, int64_t now)
 {
   if ((committed < f->log_index || failover_query_pending (f))
-      && now - f->phase_since < COMMIT_TIMEOUT_US)
+      && now - f->phase_started_at < COMMIT_TIMEOUT_US)
     return;
   failover_close_probes (f);
   f->promotion_sent = false;
@@ -345,7 +345,7 @@
       failover_resume_replicas (f, now);
       close_failover (m, f, now);
     }
-  else if (now - f->phase_since > CONFIRM_TIMEOUT_US)
+  else if (now - f->phase_started_at > CONFIRM_TIMEOUT_US)
     open_failover (m, f, now);
 }
 
@@ -394,7 +394,7 @@
       run_pausing (m, f, now);
       break;
     case PHASE_PROMOTING:
-      if (now - f->phase_since > PROMOTION_TIMEOUT_US)
+      if (now - f->phase_started_at > PROMOTION_TIMEOUT_US)
         open_failover (m, f, now);
       break;
     case PHASE_CLOSING:
--- a/src/process/failover_int.h
+++ b/src/process/failover_int.h
@@ -67,7 +67,7 @@
   bool promotion_sent;
   char former_primary[CFS_NAME_MAX];
   int64_t pause_at;
-  int64_t phase_since;
+  int64_t phase_started_at;
   int64_t started_at;
   int64_t retry_at;
 };
--- a/src/process/failover_probe.c
+++ b/src/process/failover_probe.c
@@ -125,7 +125,7 @@
     return;
   p->owner = m;
   cfs_copy (p->target, sizeof p->target, t->id);
-  p->incarnation = t->born;
+  p->incarnation = t->incarnation;
   p->sent_at = now;
   p->conn = m->adapter->open (m->adapter, &setup);
   if (!p->conn)
@@ -141,7 +141,7 @@
   struct probe *p = &f->primary_probe;
   struct cfs_statement begin = { .verb = VERB_BEGIN };
 
-  if (strcmp (p->target, t->id) != 0 || p->incarnation != t->born)
+  if (strcmp (p->target, t->id) != 0 || p->incarnation != t->incarnation)
     {
       failover_close_probe (p);
       memset (p, 0, sizeof *p);
@@ -186,7 +186,7 @@
       const struct cfs_target *t
           = cfs_table_find (&m->state->targets, p->target);
 
-      if (t && !t->gone && t->born == p->incarnation)
+      if (t && !t->gone && t->incarnation == p->incarnation)
         continue;
       failover_close_probe (p);
       memset (p, 0, sizeof *p);
@@ -227,7 +227,7 @@
         return;
       p->owner = m;
       cfs_copy (p->target, sizeof p->target, t->id);
-      p->incarnation = t->born;
+      p->incarnation = t->incarnation;
     }
 }
 
--- a/src/process/fleet.c
+++ b/src/process/fleet.c
@@ -13,13 +13,13 @@
 
 void
 cfs_fleet_init (struct cfs_fleet *f, const struct cfs_settings *settings,
-                const struct cfs_document_decoder *edge)
+                const struct cfs_document_decoder *decoder)
 {
   memset (f, 0, sizeof *f);
   f->settings = settings;
-  f->edge = edge;
+  f->decoder = decoder;
   cfs_table_init (&f->targets, sizeof (struct cfs_target));
-  cfs_table_init (&f->turns, sizeof (struct cfs_failover));
+  cfs_table_init (&f->failovers, sizeof (struct cfs_failover));
 }
 
 void
@@ -27,22 +27,22 @@
 {
   cfs_catalog_free (f->catalog);
   cfs_table_end (&f->targets);
-  cfs_table_end (&f->turns);
+  cfs_table_end (&f->failovers);
 }
 
 /* Returns whether the catalog is that of the reply or a later one. */
 static bool
-take_document (struct cfs_fleet *f, const Cfs__HeartbeatReply *r)
+update_catalog (struct cfs_fleet *f, const Cfs__HeartbeatReply *r)
 {
   GError *error = NULL;
-  struct cfs_catalog *next;
+  struct cfs_catalog *decoded;
 
   if (f->catalog && f->catalog->version >= r->version)
     return true;
   if (!*r->document)
     return false;
-  next = f->edge->read (r->document, r->version, &error);
-  if (!next)
+  decoded = f->decoder->read (r->document, r->version, &error);
+  if (!decoded)
     {
       cfs_log (CFS_ERR, PART, "version %" PRIu64 " cannot be read: %s",
                r->version, error->message);
@@ -50,14 +50,14 @@
       return false;
     }
   cfs_catalog_free (f->catalog);
-  f->catalog = next;
+  f->catalog = decoded;
   cfs_log (CFS_NOTICE, PART, "version=%" PRIu64 " is in force here",
-           next->version);
+           decoded->version);
   return true;
 }
 
 static void
-take_targets (struct cfs_fleet *f, const Cfs__HeartbeatReply *r)
+update_targets (struct cfs_fleet *f, const Cfs__HeartbeatReply *r)
 {
   for (size_t i = 0; i < r->n_targets; i++)
     {
@@ -70,24 +70,24 @@
       cfs_log (CFS_INFO, PART,
                "target=%s service=%s primary=%d draining=%d gone=%d "
                "born=%" PRIu64 " index=%" PRIu64,
-               t->id, t->service, t->primary, t->draining, t->gone, t->born,
-               t->changed);
+               t->id, t->service, t->primary, t->draining, t->gone,
+               t->incarnation, t->changed);
     }
   for (size_t i = 0; i < r->n_turns; i++)
-    cfs_failover_from_message (cfs_table_add (&f->turns, r->turns[i]->service),
-                               r->turns[i]);
+    cfs_failover_from_message (
+        cfs_table_add (&f->failovers, r->turns[i]->service), r->turns[i]);
 }
 
 bool
 cfs_fleet_update (struct cfs_fleet *f, const Cfs__HeartbeatReply *r)
 {
-  uint64_t had = f->catalog ? f->catalog->version : 0;
-  bool current = r->version > 0 && take_document (f, r);
+  uint64_t old_version = f->catalog ? f->catalog->version : 0;
+  bool current = r->version > 0 && update_catalog (f, r);
 
-  take_targets (f, r);
+  update_targets (f, r);
   if (current && r->lease_until_us > f->lease_until)
     f->lease_until = r->lease_until_us;
-  return f->catalog && f->catalog->version != had;
+  return f->catalog && f->catalog->version != old_version;
 }
 
 bool
--- a/src/process/fleet.h
+++ b/src/process/fleet.h
@@ -23,17 +23,17 @@
 struct cfs_fleet
 {
   const struct cfs_settings *settings;
-  const struct cfs_document_decoder *edge;
+  const struct cfs_document_decoder *decoder;
   struct cfs_catalog *catalog;
   struct cfs_table targets;
-  struct cfs_table turns;
+  struct cfs_table failovers;
   int64_t lease_until;
 };
 
 /** cfs_fleet_init() - knows nothing yet and has no lease */
 void cfs_fleet_init (struct cfs_fleet *fleet,
                      const struct cfs_settings *settings,
-                     const struct cfs_document_decoder *edge);
+                     const struct cfs_document_decoder *decoder);
 
 /** cfs_fleet_end() - frees tables and configuration */
 void cfs_fleet_end (struct cfs_fleet *fleet);
--- a/src/process/shares.c
+++ b/src/process/shares.c
@@ -12,28 +12,28 @@
 
 /* Part of the rate that is given out in all; the rest covers drift of
    clocks. */
-#define RATE_PART 0.995
+#define USABLE_FRACTION 0.995
 /* A team counts as pressed for this time after its bucket was empty. */
-#define PRESSED_US (2 * CFS_US_PER_S)
+#define OVERLOAD_US (2 * CFS_US_PER_S)
 /* Buckets of a new leader start empty and count as filled after this time. */
 #define REFILL_US CFS_US_PER_S
 /* Share asked for beyond the demand, so that bursts pass. */
 #define HEADROOM 1.5
 /* Base of every host as a part of the rate. */
-#define BASE 0.02
+#define BASE_FRACTION 0.02
 /* Changes below this part of the share are not made. */
-#define CHANGE_MIN 0.1
+#define CHANGE_MIN_FRACTION 0.1
 
-struct holding
+struct host_share
 {
   char host[CFS_NAME_MAX];
-  double want;
-  double held;
-  double given;
+  double weight;
+  double confirmed;
+  double assigned;
   int64_t until;
 };
 
-struct team_row
+struct team_state
 {
   char team[CFS_NAME_MAX];
   struct cfs_table hosts;
@@ -47,18 +47,18 @@
 void
 cfs_shares_init (struct cfs_shares *s)
 {
-  cfs_table_init (&s->teams, sizeof (struct team_row));
+  cfs_table_init (&s->teams, sizeof (struct team_state));
   s->grace_end = 0;
-  s->sure_from = 0;
+  s->accurate_from = 0;
   s->idle_since = 0;
-  s->trusted = false;
+  s->complete = false;
 }
 
 void
 cfs_shares_end (struct cfs_shares *s)
 {
   for (size_t i = 0; i < s->teams.count; i++)
-    cfs_table_end (&((struct team_row *)cfs_table_at (&s->teams, i))->hosts);
+    cfs_table_end (&((struct team_state *)cfs_table_at (&s->teams, i))->hosts);
   cfs_table_end (&s->teams);
 }
 
@@ -68,60 +68,60 @@
   cfs_shares_end (s);
   cfs_shares_init (s);
   s->grace_end = grace_end;
-  s->sure_from = grace_end + REFILL_US;
+  s->accurate_from = grace_end + REFILL_US;
 }
 
 void
 cfs_shares_end_grace (struct cfs_shares *s, int64_t idle_since, int64_t now)
 {
   s->grace_end = 0;
-  if (!s->trusted)
+  if (!s->complete)
     {
       s->idle_since = idle_since;
-      s->sure_from = now + REFILL_US;
+      s->accurate_from = now + REFILL_US;
     }
-  s->trusted = true;
+  s->complete = true;
 }
 
-static struct team_row *
-row_of (struct cfs_shares *s, const char *team)
+static struct team_state *
+find_or_add_team (struct cfs_shares *s, const char *team)
 {
-  struct team_row *t = cfs_table_find (&s->teams, team);
+  struct team_state *t = cfs_table_find (&s->teams, team);
 
   if (t)
     return t;
   t = cfs_table_add (&s->teams, team);
-  cfs_table_init (&t->hosts, sizeof (struct holding));
+  cfs_table_init (&t->hosts, sizeof (struct host_share));
   return t;
 }
 
 /* What may be used on a holding until the host has confirmed it. */
 static double
-out (const struct holding *h, int64_t now)
+outstanding (const struct host_share *h, int64_t now)
 {
-  return now < h->until ? fmax (h->held, h->given) : 0;
+  return now < h->until ? fmax (h->confirmed, h->assigned) : 0;
 }
 
 /* The same over all hosts. */
 static double
-all_out (const struct team_row *t, int64_t now)
+total_outstanding (const struct team_state *t, int64_t now)
 {
   double sum = 0;
 
   for (size_t i = 0; i < t->hosts.count; i++)
-    sum += out (cfs_table_at (&t->hosts, i), now);
+    sum += outstanding (cfs_table_at (&t->hosts, i), now);
   return sum;
 }
 
 static bool
-is_pressed (const struct team_row *t, int64_t now)
+is_overloaded (const struct team_state *t, int64_t now)
 {
-  return t->emptied_at && now - t->emptied_at < PRESSED_US;
+  return t->emptied_at && now - t->emptied_at < OVERLOAD_US;
 }
 
 /* Whether all shares that are out are known. */
 static bool
-knows_all (const struct cfs_shares *s, int64_t now)
+all_shares_known (const struct cfs_shares *s, int64_t now)
 {
   return now >= s->grace_end;
 }
@@ -129,15 +129,15 @@
 bool
 cfs_shares_is_accurate (const struct cfs_shares *s, int64_t now)
 {
-  return knows_all (s, now) && now >= s->sure_from;
+  return all_shares_known (s, now) && now >= s->accurate_from;
 }
 
 static void
-forget_expired (struct team_row *t, int64_t now)
+forget_expired (struct team_state *t, int64_t now)
 {
   for (size_t i = t->hosts.count; i > 0; i--)
     {
-      const struct holding *h = cfs_table_at (&t->hosts, i - 1);
+      const struct host_share *h = cfs_table_at (&t->hosts, i - 1);
 
       if (now >= h->until)
         cfs_table_remove (&t->hosts, i - 1);
@@ -147,25 +147,27 @@
 /* Tokens that the bucket holds at most: the burst without what the buckets
    of the shares hold, and without what is granted and not yet used. */
 static double
-bucket_depth (const struct team_row *t, double rate, double burst, int64_t now)
+bucket_capacity (const struct team_state *t, double rate, double burst,
+                 int64_t now)
 {
-  double depth = burst - rate * RATE_PART * TOKEN_LIFE_US / CFS_US_PER_S;
+  double capacity
+      = burst - rate * USABLE_FRACTION * TOKEN_LIFE_US / CFS_US_PER_S;
 
   for (size_t i = 0; i < t->hosts.count; i++)
     {
-      double share = out (cfs_table_at (&t->hosts, i), now);
+      double share = outstanding (cfs_table_at (&t->hosts, i), now);
 
       if (share > 0)
-        depth -= fmax (burst * share / rate, 1);
+        capacity -= fmax (burst * share / rate, 1);
     }
-  return fmax (depth, 1);
+  return fmax (capacity, 1);
 }
 
 /* Tokens for the time before this leader heard of the team in which nothing
    passed anywhere.  The buckets of the shares were empty then as well, so
    their part of the burst is here, but for one token a host. */
 static void
-credit_idle (const struct cfs_shares *s, struct team_row *t, double rate,
+credit_idle (const struct cfs_shares *s, struct team_state *t, double rate,
              double burst)
 {
   double room = burst - (double)t->hosts.count;
@@ -177,78 +179,80 @@
 }
 
 static void
-fill_bucket (const struct cfs_shares *s, struct team_row *t, double rate,
+fill_bucket (const struct cfs_shares *s, struct team_state *t, double rate,
              double burst, int64_t now)
 {
-  double depth = bucket_depth (t, rate, burst, now);
-  double shares
-      = knows_all (s, now) ? all_out (t, now) : rate * SHARED_FRACTION;
-  double fresh;
+  double capacity = bucket_capacity (t, rate, burst, now);
+  double shares = all_shares_known (s, now) ? total_outstanding (t, now)
+                                            : rate * SHARED_FRACTION;
+  double added;
 
   if (!t->first_at)
     t->first_at = t->filled_at = now;
-  fresh = fmax (rate * RATE_PART - shares, 0) * (double)(now - t->filled_at)
-          / CFS_US_PER_S;
+  added = fmax (rate * USABLE_FRACTION - shares, 0)
+          * (double)(now - t->filled_at) / CFS_US_PER_S;
   t->filled_at = now;
-  if (t->level < depth)
-    t->level = fmin (t->level + fresh, depth);
-  if (s->trusted && !t->credited)
+  if (t->level < capacity)
+    t->level = fmin (t->level + added, capacity);
+  if (s->complete && !t->credited)
     credit_idle (s, t, rate, burst);
 }
 
 static double
-wanted_by_all (const struct team_row *t)
+total_weight (const struct team_state *t)
 {
   double sum = 0;
 
   for (size_t i = 0; i < t->hosts.count; i++)
-    sum += ((const struct holding *)cfs_table_at (&t->hosts, i))->want;
+    sum += ((const struct host_share *)cfs_table_at (&t->hosts, i))->weight;
   return sum;
 }
 
 /* The share that a host is to have, whether there is room for it or not. */
 static double
-aim_share (const struct team_row *t, const struct holding *mine, double rate,
-           double burst, int64_t now)
+desired_share (const struct team_state *t, const struct host_share *mine,
+               double rate, double burst, int64_t now)
 {
-  double wanted = wanted_by_all (t);
+  double total = total_weight (t);
   double share;
 
-  if (is_pressed (t, now) || wanted <= 0)
+  if (is_overloaded (t, now) || total <= 0)
     return 0;
-  share = rate * SHARED_FRACTION * mine->want / wanted;
-  if (fabs (share - mine->held) < CHANGE_MIN * mine->held)
-    share = mine->held;
+  share = rate * SHARED_FRACTION * mine->weight / total;
+  if (fabs (share - mine->confirmed) < CHANGE_MIN_FRACTION * mine->confirmed)
+    share = mine->confirmed;
   return share * burst < rate ? 0 : share;
 }
 
 double
 cfs_shares_assign (struct cfs_shares *s, const char *team, double rate,
-                   double burst, const char *host, double demand, double held,
-                   int64_t now, int64_t until)
+                   double burst, const char *host, double demand,
+                   double confirmed, int64_t now, int64_t until)
 {
-  struct team_row *t = row_of (s, team);
-  struct holding *mine;
+  struct team_state *t = find_or_add_team (s, team);
+  struct host_share *mine;
   double room;
 
   fill_bucket (s, t, rate, burst, now);
   forget_expired (t, now);
   mine = cfs_table_add (&t->hosts, host);
-  room = fmax (rate * SHARED_FRACTION - all_out (t, now) + out (mine, now), 0);
-  if (!knows_all (s, now))
-    room = fmin (room, held);
-  mine->held = held;
-  mine->want = demand * HEADROOM + rate * BASE;
-  mine->given = fmin (aim_share (t, mine, rate, burst, now), room);
+  room = fmax (rate * SHARED_FRACTION - total_outstanding (t, now)
+                   + outstanding (mine, now),
+               0);
+  if (!all_shares_known (s, now))
+    room = fmin (room, confirmed);
+  mine->confirmed = confirmed;
+  mine->weight = demand * HEADROOM + rate * BASE_FRACTION;
+  mine->assigned = fmin (desired_share (t, mine, rate, burst, now), room);
   mine->until = until;
-  return mine->given;
+  return mine->assigned;
 }
 
 uint32_t
 cfs_shares_grant (struct cfs_shares *s, const char *team, double rate,
                   double burst, uint32_t count, int64_t now)
 {
-  struct team_row *t = row_of (s, team);
+  struct team_state *t = find_or_add_team (s, team);
   uint32_t granted;
 
   fill_bucket (s, t, rate, burst, now);
@@ -264,8 +268,8 @@
 {
   for (size_t i = 0; i < s->teams.count; i++)
     {
-      struct team_row *t = cfs_table_at (&s->teams, i);
-      struct holding *h = cfs_table_find (&t->hosts, host);
+      struct team_state *t = cfs_table_at (&s->teams, i);
+      struct host_share *h = cfs_table_find (&t->hosts, host);
 
       if (h && h->until < until)
         h->until = until;
--- a/src/process/shares.h
+++ b/src/process/shares.h
@@ -31,9 +31,9 @@
 {
   struct cfs_table teams;
   int64_t grace_end;
-  int64_t sure_from;
+  int64_t accurate_from;
   int64_t idle_since;
-  bool trusted;
+  bool complete;
 };
 
 /** cfs_shares_init() - no shares are out */
@@ -68,14 +68,14 @@
  * @rate: rate of the team, operations a second
  * @burst: burst of the team; a share too small for one operation is not made
  * @demand: what the host was asked for, operations a second
- * @held: share that the host says it holds
+ * @confirmed: share that the host says it holds
  * @until: end of the lease that covers the answer
  *
  * Return: operations a second, at most what is free.
  */
 double cfs_shares_assign (struct cfs_shares *shares, const char *team,
                           double rate, double burst, const char *host,
-                          double demand, double held, int64_t now,
+                          double demand, double confirmed, int64_t now,
                           int64_t until);
 
 /**
--- a/src/process/targets.c
+++ b/src/process/targets.c
@@ -9,12 +9,12 @@
 #include <string.h>
 
 bool
-cfs_target_is_newer (const struct cfs_target *row, uint64_t born,
+cfs_target_is_newer (const struct cfs_target *current, uint64_t incarnation,
                      uint64_t sequence)
 {
-  if (born != row->born)
-    return born > row->born;
-  return sequence > row->sequence;
+  if (incarnation != current->incarnation)
+    return incarnation > current->incarnation;
+  return sequence > current->sequence;
 }
 
 void
@@ -29,7 +29,7 @@
   out->primary = t->primary;
   out->draining = t->draining;
   out->gone = t->gone;
-  out->born = t->born;
+  out->born = t->incarnation;
   out->sequence = t->sequence;
   out->changed = t->changed;
   out->claimed = t->claimed;
@@ -45,7 +45,7 @@
   t->primary = in->primary;
   t->draining = in->draining;
   t->gone = in->gone;
-  t->born = in->born;
+  t->incarnation = in->born;
   t->sequence = in->sequence;
   t->changed = in->changed;
   t->claimed = in->claimed;
@@ -79,7 +79,7 @@
     {
       struct cfs_target *t = cfs_table_at (targets, i);
 
-      if (t->gone || strcmp (t->id, in->id) == 0 || t->born >= in->born
+      if (t->gone || strcmp (t->id, in->id) == 0 || t->incarnation >= in->born
           || strcmp (t->address, in->address) != 0)
         continue;
       t->gone = true;
@@ -101,7 +101,7 @@
   if (!t)
     t = cfs_table_add (targets, in->id);
   if (in->primary)
-    claimed = t->primary && t->born == in->born ? t->claimed : index;
+    claimed = t->primary && t->incarnation == in->born ? t->claimed : index;
   cfs_target_from_message (t, in);
   t->changed = index;
   t->claimed = claimed;
@@ -111,14 +111,14 @@
 }
 
 bool
-cfs_failovers_apply (struct cfs_table *turns, const Cfs__Turn *in,
+cfs_failovers_apply (struct cfs_table *failovers, const Cfs__Turn *in,
                      uint64_t index)
 {
   struct cfs_failover *t;
 
   if (!*in->service)
     return false;
-  t = cfs_table_add (turns, in->service);
+  t = cfs_table_add (failovers, in->service);
   if (!in->open && (!t->open || t->fence != in->fence))
     return false;
   t->open = in->open;
@@ -132,20 +132,21 @@
 
 const struct cfs_target *
 cfs_targets_primary (const struct cfs_table *targets,
-                     const struct cfs_table *turns, const char *service)
+                     const struct cfs_table *failovers, const char *service)
 {
-  const struct cfs_failover *turn = cfs_table_find (turns, service);
+  const struct cfs_failover *failover = cfs_table_find (failovers, service);
   const struct cfs_target *best = NULL;
   uint64_t best_at = 0;
 
   for (size_t i = 0; i < targets->count; i++)
     {
       const struct cfs_target *t = cfs_table_at (targets, i);
-      bool ordered = turn && !turn->open && strcmp (turn->target, t->id) == 0;
+      bool promoted = failover && !failover->open
+                      && strcmp (failover->target, t->id) == 0;
       uint64_t at = t->claimed;
 
-      if (ordered && turn->changed > at)
-        at = turn->changed;
+      if (promoted && failover->changed > at)
+        at = failover->changed;
       if (t->gone || at == 0 || strcmp (t->service, service) != 0)
         continue;
       if (best && at <= best_at)
--- a/src/process/targets.h
+++ b/src/process/targets.h
@@ -22,7 +22,7 @@
  * @primary: it said so itself
  * @draining: it announced that it leaves; it gets no new work
  * @gone: it left, or was silent for so long that it counts as lost
- * @born: incarnation: Unix milliseconds of its start
+ * @incarnation: incarnation: Unix milliseconds of its start
  * @sequence: number of its last report within the incarnation
  * @changed: log index of the last change
  * @claimed: log index at which it began to say that it leads
@@ -37,7 +37,7 @@
   bool primary;
   bool draining;
   bool gone;
-  uint64_t born;
+  uint64_t incarnation;
   uint64_t sequence;
   uint64_t changed;
   uint64_t claimed;
@@ -61,8 +61,8 @@
 };
 
 /** cfs_target_is_newer() - whether a report supersedes a row */
-bool cfs_target_is_newer (const struct cfs_target *row, uint64_t born,
-                          uint64_t sequence);
+bool cfs_target_is_newer (const struct cfs_target *current,
+                          uint64_t incarnation, uint64_t sequence);
 
 /** cfs_target_to_message() - fills a message with pointers into @target */
 void cfs_target_to_message (const struct cfs_target *target, Cfs__Target *out);
@@ -72,12 +72,13 @@
 void cfs_target_from_message (struct cfs_target *target,
                               const Cfs__Target *in);
 
-/** cfs_failover_to_message() - fills a message with pointers into @turn */
-void cfs_failover_to_message (const struct cfs_failover *turn, Cfs__Turn *out);
+/** cfs_failover_to_message() - fills a message with pointers into @failover */
+void cfs_failover_to_message (const struct cfs_failover *failover,
+                              Cfs__Turn *out);
 
 /** cfs_failover_from_message() - copies a message into a row, except for the
  * service */
-void cfs_failover_from_message (struct cfs_failover *turn,
+void cfs_failover_from_message (struct cfs_failover *failover,
                                 const Cfs__Turn *in);
 
 /**
@@ -95,26 +96,26 @@
 /**
  * cfs_failovers_apply() - applies the opening or the end of a change of
  * primary
- * @turns: table of struct cfs_failover
+ * @failovers: table of struct cfs_failover
  * @in: an opening takes @index as its fence; an end must name the fence of
  * the opening that it ends
  *
  * Return: whether the table changed.
  */
-bool cfs_failovers_apply (struct cfs_table *turns, const Cfs__Turn *in,
+bool cfs_failovers_apply (struct cfs_table *failovers, const Cfs__Turn *in,
                           uint64_t index);
 
 /**
  * cfs_targets_primary() - the instance that leads a service, as far as known
  * @targets: table of struct cfs_target
- * @turns: table of struct cfs_failover
+ * @failovers: table of struct cfs_failover
  * @service: name
  *
  * The newer of the last ended change and the last own claim counts.
  * Return: the row, or NULL.
  */
-const struct cfs_target *cfs_targets_primary (const struct cfs_table *targets,
-                                              const struct cfs_table *turns,
-                                              const char *service);
+const struct cfs_target *
+cfs_targets_primary (const struct cfs_table *targets,
+                     const struct cfs_table *failovers, const char *service);
 
 #endif
--- a/tests/unit/platform.c
+++ b/tests/unit/platform.c
@@ -136,7 +136,7 @@
   assert_string_equal (t.id, "i-1");
   assert_string_equal (t.address, "10.0.0.9:8080");
   assert_false (t.primary || t.draining);
-  assert_int_equal (t.born, 1700000000000);
+  assert_int_equal (t.incarnation, 1700000000000);
   for (size_t i = 0; i < sizeof bad / sizeof bad[0]; i++)
     {
       char *text = replaced (report, bad[i][0], bad[i][1]);
--- a/tests/world/sessions.c
+++ b/tests/world/sessions.c
@@ -166,7 +166,7 @@
   if (!w->told_at || w->now < w->told_at || !p)
     return;
   w->told_at = 0;
-  turn = cfs_table_add (&w->fleet.turns, "db");
+  turn = cfs_table_add (&w->fleet.failovers, "db");
   turn->open = false;
   turn->fence++;
   turn->changed = 1000 + turn->fence;
