--- a/src/process/failover.c
+++ b/src/process/failover.c
@@ -353,7 +353,7 @@
 run_monitoring (struct cfs_failover_manager *m, struct failover_state *f,
                 int64_t now)
 {
-  const struct cfs_failover *turn
+  const struct cfs_failover *failover
       = cfs_table_find (&m->state->turns, f->service);
   const struct cfs_target *t = current_primary (m, f);
   const char *reason;
@@ -367,13 +367,13 @@
     f->no_primary_since = now;
   if (now - m->leader_since < NEW_LEADER_WAIT_US || now < f->retry_at)
     return;
-  reason = turn && turn->open ? "a change is not ended"
-                              : failover_reason (m, f, t, now);
+  reason = failover && failover->open ? "a change is not ended"
+                                      : failover_reason (m, f, t, now);
   if (!reason)
     return;
   cfs_log (CFS_NOTICE, PART, "service=%s target=%s is replaced: %s",
            f->service, t ? t->id : "-", reason);
-  f->promotion_sent = turn && turn->open;
+  f->promotion_sent = failover && failover->open;
   f->started_at = now;
   open_failover (m, f, now);
 }
--- a/src/process/failover.h
+++ b/src/process/failover.h
@@ -61,18 +61,18 @@
                   const struct cfs_state *state, int64_t (*clock) (void));
 
 /** cfs_failover_free() - closes all connections */
-void cfs_failover_free (struct cfs_failover_manager *failover);
+void cfs_failover_free (struct cfs_failover_manager *manager);
 
 /**
  * cfs_failover_tick() - at least every 20 ms
  * @is_leader: whether this host leads with a confirmed majority
  * @committed: log index up to which the state is applied
  */
-void cfs_failover_tick (struct cfs_failover_manager *failover, bool is_leader,
+void cfs_failover_tick (struct cfs_failover_manager *manager, bool is_leader,
                         uint64_t committed, int64_t now);
 
 /** cfs_failover_promotion_result() - the answer to an order */
-void cfs_failover_promotion_result (struct cfs_failover_manager *failover,
+void cfs_failover_promotion_result (struct cfs_failover_manager *manager,
                                     const char *service, uint64_t fence,
                                     enum cfs_promotion_result result);
 
--- a/src/process/failover_int.h
+++ b/src/process/failover_int.h
@@ -104,14 +104,14 @@
 /** failover_watch_primary() - asks an instance whether it leads, notes its
  * answers
  */
-void failover_watch_primary (struct cfs_failover_manager *failover,
+void failover_watch_primary (struct cfs_failover_manager *manager,
                              struct failover_state *state,
                              const struct cfs_target *target, int64_t now);
 
 /** failover_poll_instances() - drives the questions to all instances and
  * counts their answers */
 struct probe_summary
-failover_poll_instances (struct cfs_failover_manager *failover,
+failover_poll_instances (struct cfs_failover_manager *manager,
                          struct failover_state *state, int64_t now);
 
 /** failover_resume_replicas() - lets paused replicas receive again */
