--- a/src/process/failover.c
+++ b/src/process/failover.c
@@ -1,10 +1,9 @@
 /*
- * One state machine a service: steady, opening (the token is on its way
- * through the log), pausing, ordering, confirming, closing.  Replicas stay
- * paused until the new primary has been seen leading, because an accepted
- * order takes effect later.  It holds nothing that must
- * survive: a new leader finds the open change in the replicated state and
- * starts it over with a higher token.
+ * One state machine per service, see enum failover_phase.  Replicas stay
+ * paused until the new primary has reported itself as such, because an
+ * accepted promotion takes effect later.  Nothing here has to survive a
+ * restart: a new leader finds the open failover in the replicated state and
+ * restarts it with a higher fencing token.
  */
 #include "failover_int.h"
 
@@ -14,27 +13,30 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PART "succession"
-/* Without hosts that suspect it, too, for this time. */
+#define PART "failover"
+/* A primary that has not replied for this time is replaced even when no host
+   reports it as unreachable. */
 #define PRIMARY_TIMEOUT_ALONE_US (3500 * CFS_US_PER_MS)
-/* A leader waits this long after it took over, to hear from all. */
+/* A new leader starts no failover for this time, so that hosts and instances
+   can report to it first. */
 #define NEW_LEADER_WAIT_US (800 * CFS_US_PER_MS)
-/* Time for all replicas to be paused. */
+/* Time-out for pausing all replicas. */
 #define PAUSE_TIMEOUT_US (900 * CFS_US_PER_MS)
-/* Time for the log to commit a token. */
+/* Time-out for committing a fencing token. */
 #define COMMIT_TIMEOUT_US (3 * CFS_US_PER_S)
-/* Time for an order to be answered. */
+/* Time-out for the result of a promotion request. */
 #define PROMOTION_TIMEOUT_US (3200 * CFS_US_PER_MS)
-/* Time for the chosen instance to be seen leading. */
+/* Time-out for the candidate to report itself as primary. */
 #define CONFIRM_TIMEOUT_US (3 * CFS_US_PER_S)
-/* Connections in a row that failed before a primary counts as down. */
+/* Connection failures in a row after which a primary counts as down. */
 #define CONNECT_FAILURES_MAX 2
-/* Hosts must go on to suspect a primary that answers for this time. */
+/* A primary that replies to the leader is replaced only after hosts have
+   reported it as unreachable for this time. */
 #define SUSPECT_MIN_US (500 * CFS_US_PER_MS)
-/* No change starts for this time after one has ended. */
+/* Minimum time between the end of a failover and the next. */
 #define COOLDOWN_US (1500 * CFS_US_PER_MS)
-/* Parts of the hosts alive that must suspect a primary: one that the leader
-   cannot reach either, and one that answers the leader. */
+/* Fraction of the hosts alive that must report a primary as unreachable: when
+   the leader cannot reach it either, and when it replies to the leader. */
 #define SUSPECT_FRACTION 0.25
 #define SUSPECT_REACHABLE_FRACTION 0.25
 
@@ -91,7 +93,7 @@
                               f->service);
 }
 
-/* Why the primary is to be replaced, or NULL. */
+/* Returns why the primary must be replaced, or NULL. */
 static const char *
 failover_reason (const struct cfs_failover_manager *m,
                  struct failover_state *f, const struct cfs_target *t,
@@ -102,30 +104,30 @@
   int64_t silent;
 
   if (!t && now - f->no_primary_since > PRIMARY_TIMEOUT_ALONE_US)
-    return "no instance leads";
+    return "no instance is primary";
   if (!t)
     return NULL;
   if (t->draining)
-    return "the primary leaves";
+    return "the primary is draining";
   suspects = m->ops->suspecting_hosts (m->ctx, t->id, &hosts);
   silent = now - f->primary_probe.replied_at;
   if (f->not_primary_since && now - f->not_primary_since > PRIMARY_TIMEOUT_US)
-    return "the primary says that it does not lead";
+    return "the primary reports that it is a replica";
   if (silent > PRIMARY_TIMEOUT_ALONE_US)
-    return "the primary is silent";
+    return "the primary does not reply";
   if (silent > PRIMARY_TIMEOUT_US
       && (double)suspects >= SUSPECT_FRACTION * (double)hosts)
-    return "the primary is silent, hosts cannot reach it";
+    return "the primary does not reply and hosts cannot reach it";
   if (f->primary_probe.connect_failures >= CONNECT_FAILURES_MAX
       && (double)suspects >= SUSPECT_FRACTION * (double)hosts)
-    return "the primary takes no connections";
+    return "connections to the primary fail and hosts cannot reach it";
   if (suspects < 2
       || (double)suspects < SUSPECT_REACHABLE_FRACTION * (double)hosts)
     f->suspected_since = 0;
   else if (!f->suspected_since)
     f->suspected_since = now;
   if (f->suspected_since && now - f->suspected_since > SUSPECT_MIN_US)
-    return "hosts cannot use the primary";
+    return "the primary replies, but hosts cannot reach it";
   return NULL;
 }
 
@@ -136,7 +138,7 @@
   f->phase_started_at = now;
 }
 
-/* Puts a new token into the log; everything starts over from there. */
+/* Proposes a new fencing token and starts the failover over. */
 static void
 open_failover (struct cfs_failover_manager *m, struct failover_state *f,
                int64_t now)
@@ -166,9 +168,10 @@
   enter_phase (f, PHASE_CLOSING, now);
 }
 
-/* The longest log; among equals one that stays and did not lead, because
-   there was a reason to replace that.  The log of the instance
-   that stepped down is compared, too: it may be the only known copy. */
+/* Chooses the instance with the longest log.  Among equals, one is preferred
+   that is not draining and is not the former primary, which is being replaced
+   for a reason.  The log of a demoted instance is compared, too: it may be the
+   only known copy. */
 static const struct probe *
 choose_candidate (const struct cfs_failover_manager *m,
                   const struct failover_state *f, int64_t now)
@@ -215,14 +218,15 @@
                f->probes[i].status.received.number);
   cfs_log (CFS_NOTICE, PART,
            "service=%s target=%s fence=%" PRIu64
-           " is ordered to lead, took_ms=%" PRId64,
+           " promotion requested, took_ms=%" PRId64,
            f->service, f->candidate, f->fence,
            (now - f->started_at) / CFS_US_PER_MS);
   m->ops->promote (m->ctx, f->service, f->candidate, f->fence);
 }
 
-/* Another instance leads than this host thought: it stays.  An order that
-   may still be carried out is overtaken by one for the same instance. */
+/* Keeps an instance that is primary without the leader's knowledge.  An
+   earlier promotion request that may still be carried out is superseded by
+   one for this instance. */
 static void
 accept_primary (struct cfs_failover_manager *m, struct failover_state *f,
                 const struct probe *primary, int64_t now)
@@ -232,8 +236,8 @@
       send_promotion (m, f, primary, now);
       return;
     }
-  cfs_log (CFS_NOTICE, PART, "service=%s target=%s leads already", f->service,
-           primary->target);
+  cfs_log (CFS_NOTICE, PART, "service=%s target=%s is already primary",
+           f->service, primary->target);
   cfs_copy (f->candidate, sizeof f->candidate, primary->target);
   failover_resume_replicas (f, now);
   close_failover (m, f, now);
@@ -244,13 +248,15 @@
 {
   for (size_t i = 0; i < f->probe_count; i++)
     if (*f->probes[i].target && !f->probes[i].status_known)
-      cfs_log (CFS_NOTICE, PART, "service=%s target=%s is not paused, up=%d",
+      cfs_log (CFS_NOTICE, PART,
+               "service=%s target=%s has not reported its status, up=%d",
                f->service, f->probes[i].target, f->probes[i].connected);
 }
 
-/* An acknowledged commit is on the true primary and on one other instance.
-   When all but one are paused replicas, the one left out is the primary, or
-   there is none: the paused ones then have every acknowledged commit. */
+/* An acknowledged commit is in the logs of the actual primary and of at least
+   one other instance.  When all instances but one are paused replicas, the
+   remaining one is the primary or there is none, so the paused ones together
+   hold every acknowledged commit. */
 static void
 run_pausing (struct cfs_failover_manager *m, struct failover_state *f,
              int64_t now)
@@ -279,13 +285,14 @@
       f->phase_started_at = now;
       return;
     }
-  cfs_log (CFS_NOTICE, PART, "service=%s change given up, target=%s leads",
+  cfs_log (CFS_NOTICE, PART,
+           "service=%s failover cancelled, target=%s is still primary",
            f->service, primary->id);
   failover_resume_replicas (f, now);
   close_failover (m, f, now);
 }
 
-/* An instance that answers as the primary steps down first. */
+/* A primary that still replies is demoted before the replicas are paused. */
 static void
 begin_pausing (struct cfs_failover_manager *m, struct failover_state *f,
                int64_t now)
@@ -325,9 +332,9 @@
   enter_phase (f, PHASE_MONITORING, now);
 }
 
-/* Waits until the chosen instance has answered that it leads.  The change is
-   closed behind the resumption of the replicas: a leader that takes over
-   before that goes through all of it again. */
+/* Waits until the candidate reports itself as primary.  The failover is closed
+   only after the replicas have been resumed: a leader that takes over earlier
+   repeats the whole failover. */
 static void
 run_confirming (struct cfs_failover_manager *m, struct failover_state *f,
                 int64_t now)
@@ -340,7 +347,7 @@
   if (t && f->primary_probe.status_known && f->primary_probe.status.primary)
     {
       cfs_log (CFS_NOTICE, PART,
-               "service=%s target=%s leads, took_ms=%" PRId64, f->service,
+               "service=%s target=%s is primary, took_ms=%" PRId64, f->service,
                t->id, (now - f->started_at) / CFS_US_PER_MS);
       failover_resume_replicas (f, now);
       close_failover (m, f, now);
@@ -367,11 +374,11 @@
     f->no_primary_since = now;
   if (now - m->leader_since < NEW_LEADER_WAIT_US || now < f->retry_at)
     return;
-  reason = failover && failover->open ? "a change is not ended"
+  reason = failover && failover->open ? "an earlier failover is unfinished"
                                       : failover_reason (m, f, t, now);
   if (!reason)
     return;
-  cfs_log (CFS_NOTICE, PART, "service=%s target=%s is replaced: %s",
+  cfs_log (CFS_NOTICE, PART, "service=%s target=%s failover starts: %s",
            f->service, t ? t->id : "-", reason);
   f->promotion_sent = failover && failover->open;
   f->started_at = now;
@@ -452,7 +459,7 @@
 
   cfs_log (CFS_NOTICE, PART,
            "service=%s target=%s fence=%" PRIu64
-           " order result=%d took_ms=%" PRId64,
+           " promotion result=%d took_ms=%" PRId64,
            service, f->candidate, fence, (int)result,
            (now - f->started_at) / CFS_US_PER_MS);
   if (!m->is_leader || f->phase != PHASE_PROMOTING || f->fence != fence)
--- a/src/process/failover.h
+++ b/src/process/failover.h
@@ -1,16 +1,19 @@
 /**
- * DOC: Changes of a service's primary, decided by the control leader.
+ * DOC: Failover: changes of a service's primary, decided by the control
+ * leader.
  *
- * The leader watches each primary and learns from hosts which instances they
- * cannot reach.  When a primary is lost or leaves, all replicas are stopped
- * from receiving, their logs are compared, and the one with the longest log
- * is ordered to lead.  A commit is acknowledged once some replica has it, so
- * the longest log of all replicas has every acknowledged commit; when one of
- * them cannot be asked, nothing is ordered.
+ * The leader probes each primary and learns from the hosts' heartbeats which
+ * instances they cannot reach.  When a primary fails or is drained, all
+ * replicas stop receiving, their log positions are compared, and the replica
+ * with the longest log is promoted.  A commit is acknowledged once at least
+ * one replica has received it, so the longest log of all replicas contains
+ * every acknowledged commit.  While one of them cannot be queried, no
+ * promotion is requested.
  *
- * Each order carries a fencing token that was committed to the replicated
- * log before.  An order without an answer may still be carried out, so it is
- * followed by another with a higher token until one is accepted.
+ * Each promotion request carries a fencing token that was committed to the
+ * replicated log before.  A request without a reply may still be carried out
+ * later, so it is followed by another with a higher token until one is
+ * accepted.
  */
 #ifndef CFS_FAILOVER_H
 #define CFS_FAILOVER_H
@@ -21,10 +24,10 @@
 struct cfs_failover_manager;
 
 /**
- * enum cfs_promotion_result - answer to an order
- * @PROMOTION_ACCEPTED: carried out
- * @PROMOTION_REJECTED: certainly not carried out
- * @PROMOTION_UNKNOWN: it may be carried out later
+ * enum cfs_promotion_result - result of a promotion request
+ * @PROMOTION_ACCEPTED: the instance has been or will be promoted
+ * @PROMOTION_REJECTED: the request is not carried out
+ * @PROMOTION_UNKNOWN: no reply; the request may still be carried out later
  */
 enum cfs_promotion_result
 {
@@ -34,12 +37,13 @@
 };
 
 /**
- * struct cfs_failover_ops - effects
- * @propose: appends a change of primary to the log; gives its index or 0
- * @promote: orders an instance to lead; cfs_failover_promotion_result()
- * follows
- * @suspecting_hosts: number of hosts that cannot reach a target, of @hosts
- * alive
+ * struct cfs_failover_ops - callbacks of the failover manager
+ * @propose: appends a failover record to the replicated log; returns its
+ * log index, or 0 on failure
+ * @promote: requests the promotion of an instance; the result is passed to
+ * cfs_failover_promotion_result()
+ * @suspecting_hosts: returns the number of hosts that report a target as
+ * unreachable, and sets @hosts to the number of hosts alive
  */
 struct cfs_failover_ops
 {
@@ -50,8 +54,10 @@
 };
 
 /**
- * cfs_failover_new() - watches nothing until it leads
- * @adapter: makes connections to instances; all must outlive it
+ * cfs_failover_new() - creates a manager, inactive until its host is leader
+ * @adapter: opens connections to instances
+ *
+ * All arguments must outlive the manager.
  *
  * Return: freed by cfs_failover_free().
  */
@@ -60,18 +66,21 @@
                   const struct cfs_target_adapter *adapter,
                   const struct cfs_state *state, int64_t (*clock) (void));
 
-/** cfs_failover_free() - closes all connections */
+/** cfs_failover_free() - closes all connections to instances */
 void cfs_failover_free (struct cfs_failover_manager *manager);
 
 /**
- * cfs_failover_tick() - at least every 20 ms
- * @is_leader: whether this host leads with a confirmed majority
+ * cfs_failover_tick() - runs the failovers; call at least every 20 ms
+ * @is_leader: whether this host is control leader, confirmed by a majority
  * @committed: log index up to which the state is applied
  */
 void cfs_failover_tick (struct cfs_failover_manager *manager, bool is_leader,
                         uint64_t committed, int64_t now);
 
-/** cfs_failover_promotion_result() - the answer to an order */
+/** cfs_failover_promotion_result() - takes the result of a request
+ * @fence: fencing token of the request; a result for any other than the
+ * current one is ignored
+ */
 void cfs_failover_promotion_result (struct cfs_failover_manager *manager,
                                     const char *service, uint64_t fence,
                                     enum cfs_promotion_result result);
--- a/src/process/failover_int.h
+++ b/src/process/failover_int.h
@@ -1,24 +1,34 @@
 /**
- * DOC: Private parts of changes of primary, shared by failover.c and
- * succession_probe.c.
+ * DOC: Internals of the failover manager, shared by failover.c and
+ * failover_probe.c.
  */
 #ifndef CFS_FAILOVER_INT_H
 #define CFS_FAILOVER_INT_H
 
 #include "failover.h"
 
-/* A primary that gave no answer for this time is suspected. */
+/* A primary that has not replied for this time is suspected to be down. */
 #define PRIMARY_TIMEOUT_US (1100 * CFS_US_PER_MS)
-/* Answers that are older do not count in the choice. */
+/* An older status is not used to choose a candidate. */
 #define STATUS_MAX_AGE_US (600 * CFS_US_PER_MS)
-/* Pause before the next attempt. */
+/* Delay before a failed connection or proposal is retried. */
 #define RETRY_US (200 * CFS_US_PER_MS)
-/* A reachable primary has this time to answer that it stepped down. */
+/* Time for a reachable primary to confirm its demotion. */
 #define DEMOTE_TIMEOUT_US (400 * CFS_US_PER_MS)
-/* What it sent to its replicas before arrives within this time. */
+/* Log entries that a primary sent before its demotion reach its replicas
+   within this time. */
 #define REPLICATION_DRAIN_US (60 * CFS_US_PER_MS)
 #define PROBES_MAX 16
 
+/**
+ * enum failover_phase - state of a service's failover
+ * @PHASE_MONITORING: no failover; the primary is probed
+ * @PHASE_OPENING: waits until the fencing token is committed
+ * @PHASE_PAUSING: demotes the primary, pauses the replicas
+ * @PHASE_PROMOTING: waits for the result of the promotion request
+ * @PHASE_CONFIRMING: waits until the candidate reports itself as primary
+ * @PHASE_CLOSING: waits until the end of the failover is committed
+ */
 enum failover_phase
 {
   PHASE_MONITORING,
@@ -29,7 +39,17 @@
   PHASE_CLOSING
 };
 
-/* A connection to one instance with at most one question under way. */
+/**
+ * struct probe - connection to an instance, with at most one query pending
+ * @paused: the instance replied that it is a paused replica
+ * @demoted: the instance replied to a demotion and is a replica now
+ * @status_known: @status holds a reply; false again once the connection is
+ * lost
+ * @connect_failures: connections lost or failed in a row
+ * @sent_at: when the connection was started or the last query was sent
+ * @term: highest term seen in a reply
+ * @verb: last query
+ */
 struct probe
 {
   struct cfs_failover_manager *owner;
@@ -50,6 +70,23 @@
   enum cfs_verb verb;
 };
 
+/**
+ * struct failover_state - failover of one service
+ * @primary_probe: probe of the current primary
+ * @not_primary_since: since when the primary reports that it is a replica
+ * @suspected_since: since when enough hosts report a primary as unreachable
+ * that replies to the leader
+ * @no_primary_since: since when no primary is known
+ * @probes: probes of all instances during a failover
+ * @candidate: instance to promote
+ * @fence: fencing token of the current attempt
+ * @log_index: log entry that the current phase waits for
+ * @max_term: highest term seen at any instance
+ * @promotion_sent: a promotion request of this failover may be carried out
+ * @former_primary: primary at the start of the failover
+ * @pause_at: when replicas may be paused
+ * @retry_at: no failover starts before
+ */
 struct failover_state
 {
   char service[CFS_NAME_MAX];
@@ -86,7 +123,14 @@
   int64_t leader_since;
 };
 
-/* What the instances said so far. */
+/**
+ * struct probe_summary - statuses of a service's instances
+ * @known: number of instances
+ * @paused: number of paused replicas with a recent status
+ * @demoted: an instance has confirmed its demotion
+ * @primary: instance with the highest term that reports itself as primary,
+ * or NULL
+ */
 struct probe_summary
 {
   size_t known;
@@ -95,21 +139,20 @@
   struct probe *primary;
 };
 
-/** failover_close_probe() - ends a connection; what it heard is kept */
+/** failover_close_probe() - closes the connection, keeps the status */
 void failover_close_probe (struct probe *probe);
 
-/** failover_close_probes() - ends all connections of a change */
+/** failover_close_probes() - closes the connections of a failover */
 void failover_close_probes (struct failover_state *state);
 
-/** failover_watch_primary() - asks an instance whether it leads, notes its
- * answers
+/** failover_watch_primary() - asks the primary periodically for its role
  */
 void failover_watch_primary (struct cfs_failover_manager *manager,
                              struct failover_state *state,
                              const struct cfs_target *target, int64_t now);
 
-/** failover_poll_instances() - drives the questions to all instances and
- * counts their answers */
+/** failover_poll_instances() - sends due queries to all instances and
+ * summarizes their statuses */
 struct probe_summary
 failover_poll_instances (struct cfs_failover_manager *manager,
                          struct failover_state *state, int64_t now);
@@ -117,7 +160,7 @@
 /** failover_resume_replicas() - lets paused replicas receive again */
 void failover_resume_replicas (struct failover_state *state, int64_t now);
 
-/** failover_query_pending() - whether an answer is due */
+/** failover_query_pending() - whether any instance owes a reply */
 bool failover_query_pending (const struct failover_state *state);
 
 #endif
--- a/src/process/failover_probe.c
+++ b/src/process/failover_probe.c
@@ -1,16 +1,16 @@
 /*
- * Questions to instances during a change of primary, and to a primary that
- * is watched.  A connection has at most one question under way.
+ * Connections to instances: queries to a monitored primary, and to all
+ * instances during a failover.  A connection has at most one query pending.
  */
 #include "failover_int.h"
 
 #include <string.h>
 
-/* Time between questions to a primary that is watched. */
+/* Interval between queries to a monitored primary. */
 #define WATCH_INTERVAL_US (300 * CFS_US_PER_MS)
-/* Pause before a lost connection is tried again. */
+/* Delay before a lost connection is opened again. */
 #define RECONNECT_DELAY_US (50 * CFS_US_PER_MS)
-/* On whose behalf the leader connects. */
+/* Team in whose name the leader connects. */
 #define CONTROL_TEAM "control"
 
 void
@@ -132,7 +132,8 @@
     p->retry_at = now + RETRY_US;
 }
 
-/* Asks the primary whether it leads, and notes its answers. */
+/* A transaction that may write succeeds only at a primary, so opening one
+   tells the role of the instance. */
 void
 failover_watch_primary (struct cfs_failover_manager *m,
                         struct failover_state *f, const struct cfs_target *t,
@@ -175,8 +176,8 @@
   return NULL;
 }
 
-/* The connection refers to its row, so rows are never moved; a row whose
-   instance is gone stays unused. */
+/* Connections point to their probe, so probes are never moved; that of an
+   instance that is gone is cleared and left unused. */
 static void
 drop_gone_probes (struct cfs_failover_manager *m, struct failover_state *f)
 {
@@ -205,9 +206,9 @@
   return p;
 }
 
-/* All instances as far as known.  Those that leave count, too, and so does
-   the one that is taken for the primary: an earlier order may have made
-   another lead without this host's knowledge. */
+/* Adds a probe for each known instance.  Draining instances are included, and
+   so is the presumed primary: an earlier promotion request may have made
+   another instance primary without the leader's knowledge. */
 static void
 update_probes (struct cfs_failover_manager *m, struct failover_state *f)
 {
@@ -231,10 +232,11 @@
     }
 }
 
-/* The instance that led is asked to step down before any other is asked to
-   pause, so that nothing is acknowledged any more, not even through an
-   instance that is not known yet.  One that has answered is asked again from
-   time to time, because an earlier order may have made it lead since. */
+/* The former primary is demoted before any replica is paused, so that no
+   further commit is acknowledged, not even through a replica that has not
+   announced itself yet.  An instance that has replied is queried again
+   periodically, because an earlier promotion request may have made it primary
+   since. */
 static void
 query_instance (struct cfs_failover_manager *m, struct failover_state *f,
                 struct probe *p, int64_t now)
@@ -255,7 +257,6 @@
     send_query (p, &status, now);
 }
 
-/* Drives the questions to the instances and counts their answers. */
 struct probe_summary
 failover_poll_instances (struct cfs_failover_manager *m,
                          struct failover_state *f, int64_t now)
@@ -286,7 +287,7 @@
   return c;
 }
 
-/* Lets replicas receive again; the connections close behind it. */
+/* The connections are closed later, once the replies have arrived. */
 void
 failover_resume_replicas (struct failover_state *f, int64_t now)
 {
