--- a/src/process/shares.c
+++ b/src/process/shares.c
@@ -1,29 +1,37 @@
 /*
- * A share is a fraction of the rate: what a host wants over what all want.
- * Everyone gets a base besides its demand, so that the first operations at
- * a host pass without a question.  A smaller share counts at its old size
- * until the host reports that it holds the new one.  The bucket fills with
- * what the shares that are out leave of the rate.
+ * A host's share is proportional to its weight among the weights of all
+ * hosts.  Each host gets a base weight besides its demand, so that the first
+ * operations at a host are admitted without a token request.  A reduced share
+ * counts at its old size until the host reports the new one.  The bucket
+ * fills with the part of the rate that outstanding shares leave.
  */
 #include "shares.h"
 
 #include <math.h>
 #include <string.h>
 
-/* Part of the rate that is given out in all; the rest covers drift of
-   clocks. */
+/* Fraction of the rate that is granted in all; the rest allows for clock
+   drift. */
 #define USABLE_FRACTION 0.995
-/* A team counts as pressed for this time after its bucket was empty. */
+/* A team counts as overloaded for this time after its bucket was empty. */
 #define OVERLOAD_US (2 * CFS_US_PER_S)
-/* Buckets of a new leader start empty and count as filled after this time. */
+/* The buckets of a new leader start empty; after this time their levels count
+   as accurate. */
 #define REFILL_US CFS_US_PER_S
-/* Share asked for beyond the demand, so that bursts pass. */
+/* Factor on the demand, so that shares leave room for bursts. */
 #define HEADROOM 1.5
-/* Base of every host as a part of the rate. */
+/* Base weight of every host, as a fraction of the rate. */
 #define BASE_FRACTION 0.02
-/* Changes below this part of the share are not made. */
+/* A share is left as it is when it would change by less than this fraction. */
 #define CHANGE_MIN_FRACTION 0.1
 
+/**
+ * struct host_share - share of one host, in operations per second
+ * @weight: demand with headroom, plus the base weight
+ * @confirmed: share that the host reported
+ * @assigned: share sent to the host last
+ * @until: end of the lease
+ */
 struct host_share
 {
   char host[CFS_NAME_MAX];
@@ -33,6 +41,15 @@
   int64_t until;
 };
 
+/**
+ * struct team_state - shares and token bucket of one team
+ * @hosts: table of struct host_share
+ * @level: tokens in the bucket
+ * @filled_at: time of the last refill
+ * @first_at: time of the first heartbeat or request for the team
+ * @emptied_at: when the bucket last had too few tokens for a request
+ * @credited: tokens for the idle time before @first_at were added
+ */
 struct team_state
 {
   char team[CFS_NAME_MAX];
@@ -95,14 +112,14 @@
   return t;
 }
 
-/* What may be used on a holding until the host has confirmed it. */
+/* Returns the rate that the host may be using: a reduction counts only once
+   the host has confirmed it. */
 static double
 outstanding (const struct host_share *h, int64_t now)
 {
   return now < h->until ? fmax (h->confirmed, h->assigned) : 0;
 }
 
-/* The same over all hosts. */
 static double
 total_outstanding (const struct team_state *t, int64_t now)
 {
@@ -119,7 +136,7 @@
   return t->emptied_at && now - t->emptied_at < OVERLOAD_US;
 }
 
-/* Whether all shares that are out are known. */
+/* Returns whether no share of an earlier leader can be in use. */
 static bool
 all_shares_known (const struct cfs_shares *s, int64_t now)
 {
@@ -144,8 +161,9 @@
     }
 }
 
-/* Tokens that the bucket holds at most: the burst without what the buckets
-   of the shares hold, and without what is granted and not yet used. */
+/* Returns the capacity of the bucket: the burst minus the buckets of the
+   outstanding shares at their hosts, and minus tokens that may be granted and
+   not yet used. */
 static double
 bucket_capacity (const struct team_state *t, double rate, double burst,
                  int64_t now)
@@ -163,9 +181,10 @@
   return fmax (capacity, 1);
 }
 
-/* Tokens for the time before this leader heard of the team in which nothing
-   passed anywhere.  The buckets of the shares were empty then as well, so
-   their part of the burst is here, but for one token a host. */
+/* Adds the tokens of the time before the team was first seen by this leader
+   during which no host admitted anything.  The buckets at the hosts were empty
+   then too, so their part of the burst is available here, except for one token
+   per host. */
 static void
 credit_idle (const struct cfs_shares *s, struct team_state *t, double rate,
              double burst)
@@ -208,7 +227,8 @@
   return sum;
 }
 
-/* The share that a host is to have, whether there is room for it or not. */
+/* Returns the share that a host should get, before it is limited to the rate
+   that is not leased to other hosts. */
 static double
 desired_share (const struct team_state *t, const struct host_share *mine,
                double rate, double burst, int64_t now)
--- a/src/process/shares.h
+++ b/src/process/shares.h
@@ -1,32 +1,40 @@
 /**
- * DOC: Division of the teams' rates between hosts, by the control leader.
+ * DOC: Division of each team's rate among the hosts, by the control leader.
  *
- * Up to half of a rate is given out as shares: each host gets a part for the
- * time of a lease, in proportion to the demand that it reports.  What a host
- * may still hold is counted until it confirmed a smaller share or its lease
- * ran out.  The rest fills one bucket, from which single tokens go to hosts
- * where operations wait.  A team that asks for more than its rate gets tokens
- * alone: a share stays unused at a host that rests while others wait.  All
- * together never exceed rate and burst.
- * No I/O and no clock.
+ * Up to half of a rate is leased to hosts as shares, in proportion to the
+ * demand that they report.  A share counts as outstanding until its host has
+ * confirmed a smaller one or its lease has expired.  The rest of the rate
+ * fills one token bucket per team, from which hosts with waiting operations
+ * request single tokens.  A team whose demand exceeds its rate gets tokens
+ * only, because a share would stay unused at an idle host while operations
+ * wait at others.  Shares and tokens together never exceed rate and burst.
+ * Does no I/O and reads no clock.
  */
 #ifndef CFS_SHARES_H
 #define CFS_SHARES_H
 
 #include "table.h"
 
-/* A share holds for this time from when the host asked, and not longer than
-   the configuration that it belongs to. */
+/* Lease of a share, counted from when the host sent its heartbeat; it ends no
+   later than the lease of the configuration that the share belongs to. */
 #define SHARE_LEASE_US (1500 * CFS_US_PER_MS)
-/* Wait until none is held by a silent host, clocks that drift included. */
+/* After this time a host that sends no heartbeats uses no share any more; 5 %
+   longer than the lease because clocks drift. */
 #define SHARE_EXPIRY_US (SHARE_LEASE_US + SHARE_LEASE_US / 20)
-/* A token that was granted is void after this time. */
+/* A granted token expires after this time. */
 #define TOKEN_LIFE_US (250 * CFS_US_PER_MS)
-/* Part of the rate that is given out as shares; each share gets the same
-   part of the burst. */
+/* Fraction of the rate that may be leased as shares.  A share of the rate
+   carries the same share of the burst. */
 #define SHARED_FRACTION 0.5
 
-/** struct cfs_shares - one table of hosts a team */
+/**
+ * struct cfs_shares - shares and token buckets of all teams
+ * @teams: table of struct team_state
+ * @grace_end: shares granted by an earlier leader may be in use until then
+ * @accurate_from: when all buckets have had time to refill
+ * @idle_since: as passed to cfs_shares_end_grace()
+ * @complete: every host has reported its shares to this leader
+ */
 struct cfs_shares
 {
   struct cfs_table teams;
@@ -36,42 +44,44 @@
   bool complete;
 };
 
-/** cfs_shares_init() - no shares are out */
+/** cfs_shares_init() - starts without teams */
 void cfs_shares_init (struct cfs_shares *shares);
 
 /** cfs_shares_end() - frees the tables */
 void cfs_shares_end (struct cfs_shares *shares);
 
 /**
- * cfs_shares_reset() - forgets all; until @grace_end hosts may hold shares
- * of an earlier leader, so none grows
+ * cfs_shares_reset() - drops all state when this host becomes leader
+ * @grace_end: until then hosts may use shares of an earlier leader, so no
+ * share is increased
  */
 void cfs_shares_reset (struct cfs_shares *shares, int64_t grace_end);
 
 /**
- * cfs_shares_end_grace() - no share of an earlier leader is unknown any more
- * @idle_since: nothing has passed at any host since then
+ * cfs_shares_end_grace() - every host has reported its shares to this leader
+ * @idle_since: no operation has been admitted at any host since then
  */
 void cfs_shares_end_grace (struct cfs_shares *shares, int64_t idle_since,
                            int64_t now);
 
 /**
- * cfs_shares_is_accurate() - whether a token that is denied is in use
+ * cfs_shares_is_accurate() - whether a refusal means that the rate is used up
  *
- * Not so while shares of an earlier leader may be out, nor shortly after:
- * what its buckets held is lost.
+ * False while shares of an earlier leader may be in use, and for a refill
+ * time after that, because the levels of that leader's buckets are lost.
  */
 bool cfs_shares_is_accurate (const struct cfs_shares *shares, int64_t now);
 
 /**
- * cfs_shares_assign() - the share of one host
- * @rate: rate of the team, operations a second
- * @burst: burst of the team; a share too small for one operation is not made
- * @demand: what the host was asked for, operations a second
- * @confirmed: share that the host says it holds
- * @until: end of the lease that covers the answer
+ * cfs_shares_assign() - sets the share of one host
+ * @rate: rate of the team in operations per second
+ * @burst: burst of the team; no share is leased whose part of the burst is
+ * less than one operation
+ * @demand: operations per second that were requested at the host
+ * @confirmed: share that the host reports to hold
+ * @until: end of the new share's lease
  *
- * Return: operations a second, at most what is free.
+ * Return: operations per second, at most what is not leased to other hosts.
  */
 double cfs_shares_assign (struct cfs_shares *shares, const char *team,
                           double rate, double burst, const char *host,
@@ -79,17 +89,16 @@
                           int64_t until);
 
 /**
- * cfs_shares_grant() - takes tokens out of a team's bucket
- * @burst: burst of the team
- * @count: tokens asked for
+ * cfs_shares_grant() - takes tokens from a team's bucket
+ * @count: number of tokens requested
  *
- * Return: how many are granted.
+ * Return: number of tokens granted, at most @count.
  */
 uint32_t cfs_shares_grant (struct cfs_shares *shares, const char *team,
                            double rate, double burst, uint32_t count,
                            int64_t now);
 
-/** cfs_shares_extend() - the shares of a host stay out until later */
+/** cfs_shares_extend() - extends the leases of all shares of a host */
 void cfs_shares_extend (struct cfs_shares *shares, const char *host,
                         int64_t until);
 
--- a/src/process/targets.c
+++ b/src/process/targets.c
@@ -1,8 +1,8 @@
 /*
- * A report is ordered by the incarnation of its sender first and by its
- * sequence number second, so one that was delayed on its way never undoes
- * what a later incarnation said.  A row that is gone stays as a tombstone
- * for the same reason.
+ * Reports are ordered by the incarnation of the sender first and by its
+ * sequence number second, so a delayed report never overwrites what a later
+ * incarnation sent.  The entry of an instance that is gone stays as a
+ * tombstone for the same reason.
  */
 #include "targets.h"
 
@@ -71,7 +71,7 @@
   t->changed = in->changed;
 }
 
-/* An address has one instance at a time: an earlier one there is gone. */
+/* Only one instance can run at an address, so an earlier one there is gone. */
 static void
 supersede (struct cfs_table *targets, const Cfs__Target *in, uint64_t index)
 {
--- a/src/process/targets.h
+++ b/src/process/targets.h
@@ -1,9 +1,11 @@
 /**
- * DOC: Targets that announce themselves, and changes of a service's primary.
+ * DOC: Registry of targets, which announce themselves, and the last failover
+ * of each service.
  *
- * Rows are replicated: control hosts keep them in the state of the log, and
- * every host keeps a copy.  Only what matters for routing and for the choice
- * of a primary is kept here; when a target was last heard is not.
+ * Entries are replicated: control hosts keep them in the state of the
+ * replicated log, and every host keeps a copy.  They hold only what routing
+ * and the choice of a primary need.  The time of a target's last heartbeat is
+ * not replicated.
  */
 #ifndef CFS_TARGETS_H
 #define CFS_TARGETS_H
@@ -13,19 +15,17 @@
 #include "wire.pb-c.h"
 
 /**
- * struct cfs_target - one instance of a database group
- * @id: its name
- * @service: name of its group
+ * struct cfs_target - an instance of a service's database group
  * @address: "IP:PORT"
- * @zone: where it runs
- * @slots: statements that it serves at a time
- * @primary: it said so itself
- * @draining: it announced that it leaves; it gets no new work
- * @gone: it left, or was silent for so long that it counts as lost
- * @incarnation: incarnation: Unix milliseconds of its start
+ * @zone: zone in which it runs
+ * @slots: number of statements that it executes at a time
+ * @primary: it reported itself as primary
+ * @draining: it announced that it will leave; it gets no new work
+ * @gone: it left, or sent no heartbeat for so long that it counts as lost
+ * @incarnation: Unix time of its start in milliseconds
  * @sequence: number of its last report within the incarnation
  * @changed: log index of the last change
- * @claimed: log index at which it began to say that it leads
+ * @claimed: log index from which on it reports itself as primary, or 0
  */
 struct cfs_target
 {
@@ -44,11 +44,10 @@
 };
 
 /**
- * struct cfs_failover - the last change of a service's primary
- * @service: name of the group
- * @open: the change may still be under way
- * @target: the instance that leads once it is closed, "" before
- * @fence: fencing token: log index at which it was opened
+ * struct cfs_failover - the last failover of a service
+ * @open: the failover has begun and not ended
+ * @target: primary chosen by the last completed failover, or ""
+ * @fence: fencing token: log index at which the failover began
  * @changed: log index of the last change
  */
 struct cfs_failover
@@ -60,33 +59,34 @@
   uint64_t changed;
 };
 
-/** cfs_target_is_newer() - whether a report supersedes a row */
+/** cfs_target_is_newer() - whether a report supersedes an entry */
 bool cfs_target_is_newer (const struct cfs_target *current,
                           uint64_t incarnation, uint64_t sequence);
 
-/** cfs_target_to_message() - fills a message with pointers into @target */
+/** cfs_target_to_message() - fills a message that points into @target */
 void cfs_target_to_message (const struct cfs_target *target, Cfs__Target *out);
 
-/** cfs_target_from_message() - copies a message into a row, except for the id
+/** cfs_target_from_message() - copies all fields but the id from a
+ * message
  */
 void cfs_target_from_message (struct cfs_target *target,
                               const Cfs__Target *in);
 
-/** cfs_failover_to_message() - fills a message with pointers into @failover */
+/** cfs_failover_to_message() - fills a message that points into @failover */
 void cfs_failover_to_message (const struct cfs_failover *failover,
                               Cfs__Turn *out);
 
-/** cfs_failover_from_message() - copies a message into a row, except for the
- * service */
+/** cfs_failover_from_message() - copies all fields but the service from a
+ * message */
 void cfs_failover_from_message (struct cfs_failover *failover,
                                 const Cfs__Turn *in);
 
 /**
  * cfs_targets_apply() - applies a committed report
  * @targets: table of struct cfs_target
- * @in: report; an older one than the row's changes nothing; an instance
- * that was born earlier at the same address is gone
- * @index: log index
+ * @in: report; ignored when the entry is newer.  Any instance with an earlier
+ * incarnation at the same address is marked as gone
+ * @index: log index of the report
  *
  * Return: whether the table changed.
  */
@@ -94,11 +94,10 @@
                         uint64_t index);
 
 /**
- * cfs_failovers_apply() - applies the opening or the end of a change of
- * primary
+ * cfs_failovers_apply() - applies the begin or the end of a failover
  * @failovers: table of struct cfs_failover
- * @in: an opening takes @index as its fence; an end must name the fence of
- * the opening that it ends
+ * @in: a begin gets @index as its fencing token; an end is ignored unless it
+ * has the token of the open failover
  *
  * Return: whether the table changed.
  */
@@ -106,13 +105,13 @@
                           uint64_t index);
 
 /**
- * cfs_targets_primary() - the instance that leads a service, as far as known
+ * cfs_targets_primary() - returns the primary of a service, as far as known
  * @targets: table of struct cfs_target
  * @failovers: table of struct cfs_failover
- * @service: name
  *
- * The newer of the last ended change and the last own claim counts.
- * Return: the row, or NULL.
+ * The latest event counts: the end of a failover, or an instance that begins
+ * to report itself as primary.
+ * Return: entry in @targets, or NULL.
  */
 const struct cfs_target *
 cfs_targets_primary (const struct cfs_table *targets,
