--- a/bench/bench_route.c
+++ b/bench/bench_route.c
@@ -58,7 +58,7 @@
   struct outcome out;
   char name[16];
 
-  cfs_gate_wait_for_replica (w->hosts[0].gate, wait);
+  cfs_gate_set_wait_for_replica (w->hosts[0].gate, wait);
   cfs_gate_configure (w->hosts[0].gate, WG_INSTANCES, ack_primary);
   w->service_us = 2000;
   w->inst[2].lag_us = 2 * CFS_US_PER_S;
--- a/src/connection/pg.c
+++ b/src/connection/pg.c
@@ -88,7 +88,7 @@
   unsigned step_count;
   unsigned step_at;
   bool commit_sent;
-  struct cfs_ran_result result;
+  struct cfs_work_result result;
   char *error;
   char sqlstate[6];
   bool result_found;
@@ -105,7 +105,7 @@
   struct cfs_pg_setup setup;
   struct cfs_gate *gate;
   struct pg_conn conns[WORK_CONNECTIONS + GATE_INSTANCES_MAX];
-  unsigned conn_top;
+  unsigned conn_used;
 };
 
 static void conn_ready (void *ctx, int events);
@@ -321,8 +321,8 @@
 
   reset_conn (c);
   c->inst = inst;
-  if (conn >= pg->conn_top)
-    pg->conn_top = conn + 1;
+  if (conn >= pg->conn_used)
+    pg->conn_used = conn + 1;
   start_connect (c);
 }
 
@@ -478,13 +478,13 @@
 
 /* Hands the result to the gate, which may give the link new work at once. */
 static void
-report_result (struct pg_conn *c, enum cfs_ran ran, bool clean)
+report_result (struct pg_conn *c, enum cfs_work_status ran, bool clean)
 {
-  struct cfs_ran_result out = c->result;
+  struct cfs_work_result out = c->result;
 
   out.ran = ran;
   out.clean = clean;
-  if (ran == RAN_ERROR && c->error)
+  if (ran == WORK_STATUS_ERROR && c->error)
     {
       free (out.body);
       out.body = pg_error_body (c->sqlstate, c->error);
@@ -494,7 +494,7 @@
   c->error = NULL;
   c->request = NULL;
   c->state = CONN_IDLE;
-  cfs_gate_ran (c->pg->gate, c->index, &out, cfs_now ());
+  cfs_gate_work_done (c->pg->gate, c->index, &out, cfs_now ());
 }
 
 static bool
@@ -532,16 +532,17 @@
   bool in_tx = c->work == WORK_BEGIN || c->work == WORK_STATEMENT;
 
   if (in_tx || c->work == WORK_ROLLBACK || c->work == WORK_COMMIT)
-    report_result (c, c->error ? RAN_ERROR : RAN_OK, conn_clean (c, in_tx));
+    report_result (c, c->error ? WORK_STATUS_ERROR : WORK_STATUS_OK,
+                   conn_clean (c, in_tx));
   else if (c->error && conn_clean (c, false) && c->commit_sent
            && c->result.body && c->work == WORK_WRITE)
-    report_result (c, RAN_UNKNOWN, false);
+    report_result (c, WORK_STATUS_UNKNOWN, false);
   else if (c->error)
     after_error (c);
   else if (c->work == WORK_KEYED_WRITE)
     send_steps (c, STAGE_STORE_RESULT, store_result, 3);
   else
-    report_result (c, RAN_OK, conn_clean (c, false));
+    report_result (c, WORK_STATUS_OK, conn_clean (c, false));
 }
 
 static void
@@ -550,10 +551,11 @@
   free (c->error);
   c->error = NULL;
   if (!c->result_found)
-    report_result (c, RAN_LOCKED, conn_clean (c, false));
+    report_result (c, WORK_STATUS_KEY_LOCKED, conn_clean (c, false));
   else
-    report_result (c, c->digest_differs ? RAN_KEY_REUSED : RAN_REPLAYED,
-                   conn_clean (c, false));
+    report_result (
+        c, c->digest_differs ? WORK_STATUS_KEY_REUSED : WORK_STATUS_REPLAYED,
+        conn_clean (c, false));
 }
 
 static void
@@ -582,15 +584,16 @@
       if (c->error)
         after_error (c);
       else
-        report_result (c, RAN_OK, conn_clean (c, false));
+        report_result (c, WORK_STATUS_OK, conn_clean (c, false));
       break;
     case STAGE_FETCH_RESULT:
       after_fetch_result (c);
       break;
     case STAGE_ROLLBACK:
       report_result (c,
-                     strcmp (c->sqlstate, SQLSTATE_LOCKED) == 0 ? RAN_LOCKED
-                                                                : RAN_ERROR,
+                     strcmp (c->sqlstate, SQLSTATE_LOCKED) == 0
+                         ? WORK_STATUS_KEY_LOCKED
+                         : WORK_STATUS_ERROR,
                      conn_clean (c, false));
       break;
     }
@@ -629,17 +632,17 @@
 conn_failed (struct pg_conn *c)
 {
   enum conn_state state = c->state;
-  struct cfs_ran_result lost = { .ran = RAN_NOT_RUN };
+  struct cfs_work_result lost = { .ran = WORK_STATUS_NOT_RUN };
 
   if (c->commit_sent && c->work != WORK_READ)
-    lost.ran = RAN_UNKNOWN;
+    lost.ran = WORK_STATUS_UNKNOWN;
   reset_conn (c);
   if (c->probe)
     return;
   if (state == CONN_RUNNING)
-    cfs_gate_ran (c->pg->gate, c->index, &lost, cfs_now ());
+    cfs_gate_work_done (c->pg->gate, c->index, &lost, cfs_now ());
   else if (state != CONN_NONE)
-    cfs_gate_lost (c->pg->gate, c->index, cfs_now ());
+    cfs_gate_disconnected (c->pg->gate, c->index, cfs_now ());
 }
 
 static void
@@ -671,7 +674,7 @@
 each_conn (struct cfs_pg *pg, void (*apply) (struct pg_conn *c, int64_t now),
            int64_t now)
 {
-  for (unsigned i = 0; i < pg->conn_top; i++)
+  for (unsigned i = 0; i < pg->conn_used; i++)
     apply (&pg->conns[i], now);
   for (unsigned i = 0; i < GATE_INSTANCES_MAX; i++)
     apply (&pg->conns[WORK_CONNECTIONS + i], now);
--- a/src/connection/session.c
+++ b/src/connection/session.c
@@ -150,7 +150,7 @@
 session_set_awaiting_token (struct cfs_session *s, bool awaiting_token)
 {
   if (s->op.awaiting_token != awaiting_token)
-    cfs_quota_wait (s->owner->setup.quota, s->team, awaiting_token);
+    cfs_quota_count_waiting (s->owner->setup.quota, s->team, awaiting_token);
   s->op.awaiting_token = awaiting_token;
 }
 
@@ -324,7 +324,7 @@
   s->tx_wrote = false;
   s->tx_answered = false;
   if (*s->team)
-    cfs_quota_ask (s->owner->setup.quota, s->team, now);
+    cfs_quota_count_demand (s->owner->setup.quota, s->team, now);
   start_op (s, OP_TOKEN, now);
 }
 
@@ -352,7 +352,7 @@
       return;
     }
   if (*s->team)
-    cfs_quota_ask (s->owner->setup.quota, s->team, now);
+    cfs_quota_count_demand (s->owner->setup.quota, s->team, now);
   start_op (s, OP_TOKEN, now);
 }
 
--- a/src/process/front.c
+++ b/src/process/front.c
@@ -164,12 +164,12 @@
   for (size_t i = 0; i < g->n_teams; i++)
     {
       const Cfs__TeamTokens *t = g->teams[i];
-      struct cfs_quota_answer answer = { .asked = t->asked,
-                                         .count = t->count,
-                                         .known = t->known,
-                                         .sent_at = g->sent_at_us };
+      struct cfs_quota_token_reply answer = { .asked = t->asked,
+                                              .count = t->count,
+                                              .known = t->known,
+                                              .sent_at = g->sent_at_us };
 
-      cfs_quota_granted (&f->quota, t->team, &answer);
+      cfs_quota_add_tokens (&f->quota, t->team, &answer);
     }
 }
 
@@ -194,7 +194,7 @@
 {
   for (size_t i = 0; i < f->quota.rows.count; i++)
     {
-      const struct cfs_quota_row *r = cfs_table_at (&f->quota.rows, i);
+      const struct cfs_quota_team *r = cfs_table_at (&f->quota.rows, i);
 
       if (!r->known && r->asked > 0)
         return true;
@@ -218,7 +218,7 @@
   h.uses = cfs_alloc (c->team_count * sizeof *h.uses);
   for (size_t i = 0; i < c->team_count; i++)
     {
-      struct cfs_quota_row *q
+      struct cfs_quota_team *q
           = cfs_table_add (&f->quota.rows, c->teams[i].name);
 
       cfs__team_use__init (&rows[i]);
@@ -283,8 +283,8 @@
   for (size_t i = 0; i < f->quota.rows.count && ask.n_teams < ASK_TEAMS_MAX;
        i++)
     {
-      struct cfs_quota_row *r = cfs_table_at (&f->quota.rows, i);
-      uint32_t count = r->waiting ? cfs_quota_wanted (r, now) : 0;
+      struct cfs_quota_team *r = cfs_table_at (&f->quota.rows, i);
+      uint32_t count = r->waiting ? cfs_quota_tokens_to_request (r, now) : 0;
       Cfs__TeamTokens *row = &rows[ask.n_teams];
 
       if (!count)
--- a/src/process/traffic.c
+++ b/src/process/traffic.c
@@ -81,16 +81,16 @@
       break;
     case CFS__PEER__BODY_ASK:
       if (from)
-        cfs_gates_ask (t->gates, from, msg->ask, now);
+        cfs_gates_grant_tokens (t->gates, from, msg->ask, now);
       break;
     case CFS__PEER__BODY_ANNOUNCE:
       cfs_gates_announce (t->gates, msg->announce, now);
       break;
     case CFS__PEER__BODY_ANSWER:
-      cfs_entry_answer (t->entry, msg->answer, now);
+      cfs_entry_gate_reply (t->entry, msg->answer, now);
       break;
     case CFS__PEER__BODY_GRANT:
-      cfs_entry_granted (t->entry, msg->grant, now);
+      cfs_entry_token_grant (t->entry, msg->grant, now);
       break;
     default:
       break;
@@ -103,9 +103,9 @@
   int64_t now = cfs_now ();
   bool changed = cfs_directory_update (&t->directory, r);
 
-  cfs_gates_follow (t->gates, r, now);
+  cfs_gates_directory_changed (t->gates, r, now);
   if (changed || r->n_assignments)
-    cfs_entry_follow (t->entry, now);
+    cfs_entry_directory_changed (t->entry, now);
 }
 
 static void
@@ -118,7 +118,7 @@
       if (msg->body_case == CFS__PEER__BODY_REPLY)
         take_renewal (t, msg->reply);
       else if (msg->body_case == CFS__PEER__BODY_CALLED)
-        cfs_entry_called (t->entry, msg->called);
+        cfs_entry_operator_reply (t->entry, msg->called);
       cfs__peer__free_unpacked (msg, NULL);
     }
 }
--- a/src/request/admit.c
+++ b/src/request/admit.c
@@ -38,14 +38,15 @@
 static void
 ask (struct cfs_admit *a, struct cfs_admit_team *t, int64_t now)
 {
-  size_t want = t->waiting.count < ASK_MAX ? t->waiting.count : ASK_MAX;
+  size_t want = t->waiting.count < TOKEN_REQUEST_MAX ? t->waiting.count
+                                                     : TOKEN_REQUEST_MAX;
 
-  if (want == 0 || t->ask_id || t->tokens || now < t->ask_after)
+  if (want == 0 || t->outstanding_id || t->tokens || now < t->ask_after)
     return;
-  t->ask_id = ++a->next_id;
-  t->ask_count = (uint32_t)want;
+  t->outstanding_id = ++a->next_id;
+  t->outstanding_count = (uint32_t)want;
   t->asked_at = now;
-  a->ops->ask (a->ctx, t->name, t->ask_id, t->ask_count);
+  a->ops->ask (a->ctx, t->name, t->outstanding_id, t->outstanding_count);
 }
 
 void
@@ -56,7 +57,7 @@
 
   t->rate = rate;
   t->burst = burst;
-  if ((double)t->waiting.count >= burst + rate * ADMIT_BACKLOG_SECONDS)
+  if ((double)t->waiting.count >= burst + rate * ADMIT_QUEUE_SECONDS)
     {
       a->ops->refused (a->ctx, r, CFS_CODE_RATE_LIMITED);
       return;
@@ -72,7 +73,7 @@
 {
   double behind = (double)(t->tokens - 1) / t->rate * CFS_US_PER_S;
 
-  return t->tokens_end - (int64_t)behind;
+  return t->last_token_at - (int64_t)behind;
 }
 
 /* Spends the tokens whose time has come and drops those that are too old. */
@@ -81,7 +82,7 @@
 {
   while (t->tokens > 0 && token_time (t) <= now)
     {
-      bool fresh = now - token_time (t) < GRANT_LIFE_US - t->answer_us;
+      bool fresh = now - token_time (t) < GRANT_LIFE_US - t->reply_delay_us;
 
       t->tokens--;
       if (fresh && t->waiting.count > 0)
@@ -97,27 +98,27 @@
 {
   struct cfs_admit_team *t = cfs_table_find (&a->teams, team);
 
-  if (!t || t->ask_id != id)
+  if (!t || t->outstanding_id != id)
     return;
-  t->ask_id = 0;
-  t->answer_us = now - t->asked_at;
-  if (count > t->ask_count)
-    count = t->ask_count;
-  t->tokens = t->answer_us < GRANT_LIFE_US ? count : 0;
-  t->tokens_end = now + wait_us;
+  t->outstanding_id = 0;
+  t->reply_delay_us = now - t->asked_at;
+  if (count > t->outstanding_count)
+    count = t->outstanding_count;
+  t->tokens = t->reply_delay_us < GRANT_LIFE_US ? count : 0;
+  t->last_token_at = now + wait_us;
   t->ask_after = count ? now : now + wait_us;
   spend (a, t, now);
   ask (a, t, now);
 }
 
 void
-cfs_admit_moved (struct cfs_admit *a, const char *team, int64_t now)
+cfs_admit_limiter_moved (struct cfs_admit *a, const char *team, int64_t now)
 {
   struct cfs_admit_team *t = cfs_table_find (&a->teams, team);
 
   if (!t)
     return;
-  t->ask_id = 0;
+  t->outstanding_id = 0;
   t->tokens = 0;
   t->ask_after = now;
   ask (a, t, now);
@@ -148,8 +149,8 @@
       if (t->waiting.count == 0)
         continue;
       expire (a, t, now);
-      if (t->ask_id && now - t->asked_at >= ASK_TIMEOUT_US)
-        t->ask_id = 0;
+      if (t->outstanding_id && now - t->asked_at >= TOKEN_REQUEST_TIMEOUT_US)
+        t->outstanding_id = 0;
       spend (a, t, now);
       ask (a, t, now);
     }
--- a/src/request/admit.h
+++ b/src/request/admit.h
@@ -13,11 +13,11 @@
 #include "request.h"
 
 /* An ask without an answer is sent again after this time. */
-#define ASK_TIMEOUT_US (150 * CFS_US_PER_MS)
+#define TOKEN_REQUEST_TIMEOUT_US (150 * CFS_US_PER_MS)
 /* Tokens asked for at a time. */
-#define ASK_MAX 64
+#define TOKEN_REQUEST_MAX 64
 /* Time of a team's rate that may wait beyond its burst. */
-#define ADMIT_BACKLOG_SECONDS 2.5
+#define ADMIT_QUEUE_SECONDS 2.5
 
 /**
  * struct cfs_admit_ops - effects of admission
@@ -39,11 +39,11 @@
   double rate;
   double burst;
   struct cfs_queue waiting;
-  uint64_t ask_id;
-  uint32_t ask_count;
+  uint64_t outstanding_id;
+  uint32_t outstanding_count;
   uint32_t tokens;
-  int64_t tokens_end;
-  int64_t answer_us;
+  int64_t last_token_at;
+  int64_t reply_delay_us;
   int64_t asked_at;
   int64_t ask_after;
 };
@@ -87,8 +87,9 @@
 void cfs_admit_granted (struct cfs_admit *admit, const char *team, uint64_t id,
                         uint32_t count, int64_t retry_us, int64_t now);
 
-/** cfs_admit_moved() - the team has a new limiter: asks it at once */
-void cfs_admit_moved (struct cfs_admit *admit, const char *team, int64_t now);
+/** cfs_admit_limiter_moved() - the team has a new limiter: asks it at once */
+void cfs_admit_limiter_moved (struct cfs_admit *admit, const char *team,
+                              int64_t now);
 
 /** cfs_admit_tick() - deadlines and repeated asks, at least every 5 ms */
 void cfs_admit_tick (struct cfs_admit *admit, int64_t now);
--- a/src/request/entry.c
+++ b/src/request/entry.c
@@ -16,7 +16,7 @@
 #define HTTP_OK 200
 #define HTTP_UNAVAILABLE 503
 
-static void forward_job (struct entry_job *j, int64_t now);
+static void forward_job (struct entry_request *j, int64_t now);
 
 uint64_t
 entry_id (struct cfs_entry *e)
@@ -72,7 +72,7 @@
 }
 
 void
-entry_free_job (struct entry_job *j)
+entry_free_request (struct entry_request *j)
 {
   for (size_t i = 0; i < j->param_count; i++)
     if (!j->params[i].null)
@@ -88,15 +88,15 @@
 
 /* Outcome of a job that is given up in its present state. */
 static enum cfs_outcome
-outcome_of (const struct entry_job *j)
+outcome_of (const struct entry_request *j)
 {
-  bool sent = j->state == JOB_SENT && j->id;
+  bool sent = j->state == ENTRY_SENT && j->id;
 
   return sent || j->request.unsure ? CFS_UNKNOWN : CFS_NOT_RUN;
 }
 
 static void
-link_job (struct cfs_entry *e, struct entry_job *j)
+link_job (struct cfs_entry *e, struct entry_request *j)
 {
   j->next = e->jobs;
   if (j->next)
@@ -106,7 +106,7 @@
 }
 
 static void
-forget_id (struct entry_job *j)
+forget_id (struct entry_request *j)
 {
   if (j->id)
     apr_hash_set (j->entry->sent, &j->id, sizeof j->id, NULL);
@@ -114,7 +114,7 @@
 }
 
 static void
-end_job (struct entry_job *j)
+end_job (struct entry_request *j)
 {
   struct cfs_entry *e = j->entry;
 
@@ -126,11 +126,11 @@
   if (j->next)
     j->next->prev = j->prev;
   e->open--;
-  entry_free_job (j);
+  entry_free_request (j);
 }
 
 void
-entry_finish (struct entry_job *j, enum cfs_code code,
+entry_finish (struct entry_request *j, enum cfs_code code,
               enum cfs_outcome outcome, const char *detail)
 {
   entry_problem (j->entry, j->call, code, outcome, detail);
@@ -160,10 +160,10 @@
 static void
 on_admitted (void *ctx, struct cfs_request *r)
 {
-  struct entry_job *j = r->payload;
+  struct entry_request *j = r->payload;
 
   (void)ctx;
-  j->state = JOB_WAITING;
+  j->state = ENTRY_WAITING;
   forward_job (j, cfs_now ());
 }
 
@@ -186,7 +186,7 @@
   apr_pool_create (&e->pool, NULL);
   e->sent = apr_hash_make (e->pool);
   cfs_admit_init (&e->admit, &admit_ops, e);
-  cfs_table_init (&e->announced, sizeof (struct announce_row));
+  cfs_table_init (&e->announced, sizeof (struct sent_announcement));
   cfs_token_derive_key (setup->settings->curve_secret, e->token_key);
   e->next_id = (uint64_t)randombytes_random () << 32;
   return e;
@@ -211,7 +211,7 @@
 }
 
 void
-entry_submit (struct cfs_entry *e, struct entry_job *j,
+entry_submit (struct cfs_entry *e, struct entry_request *j,
               const struct cfs_team *team, int64_t deadline_ms)
 {
   int64_t now = cfs_now ();
@@ -222,14 +222,14 @@
   r->arrived_at = now;
   r->deadline = now + deadline_ms * CFS_US_PER_MS;
   j->checked_version = e->setup.directory->conf->version;
-  j->state = JOB_ADMITTING;
+  j->state = ENTRY_ADMITTING;
   link_job (e, j);
   cfs_admit_submit (&e->admit, r, team->rate, team->burst, now);
 }
 
 /* Whether the key that came with a call still opens the same team. */
 static bool
-key_still_valid (struct entry_job *j)
+key_still_valid (struct entry_request *j)
 {
   const struct cfs_conf *conf = j->entry->setup.directory->conf;
   const struct cfs_team *team;
@@ -242,7 +242,7 @@
 }
 
 static int
-send_job (struct entry_job *j, const struct cfs_lease *gate, int64_t now)
+send_job (struct entry_request *j, const struct cfs_lease *gate, int64_t now)
 {
   const struct cfs_request *r = &j->request;
   Cfs__Peer out = CFS__PEER__INIT;
@@ -274,7 +274,7 @@
 
 /* Sends a waiting job to its gate, if there is one that can be reached. */
 static void
-forward_job (struct entry_job *j, int64_t now)
+forward_job (struct entry_request *j, int64_t now)
 {
   const struct cfs_directory *d = j->entry->setup.directory;
   const struct cfs_lease *gate
@@ -295,7 +295,7 @@
       j->id = 0;
       return;
     }
-  j->state = JOB_SENT;
+  j->state = ENTRY_SENT;
   j->sent_epoch = gate->epoch;
   j->orphaned_at = 0;
   apr_hash_set (j->entry->sent, &j->id, sizeof j->id, j);
@@ -303,7 +303,7 @@
 
 /* Joins the head of our answer with the gate's JSON object. */
 static char *
-make_body (const struct entry_job *j, const Cfs__Answer *in)
+make_body (const struct entry_request *j, const Cfs__Answer *in)
 {
   const char *rest = in->body && in->body[0] == '{' ? in->body + 1 : "}";
   const char *comma = rest[0] == '}' ? "" : ",";
@@ -317,7 +317,7 @@
 }
 
 static void
-answer_done (struct entry_job *j, const Cfs__Answer *in)
+answer_done (struct entry_request *j, const Cfs__Answer *in)
 {
   struct cfs_http_response a = { .status = HTTP_OK };
   char session[TOKEN_TEXT_MAX];
@@ -343,7 +343,7 @@
 /* Tells a session that a change it has seen is gone, and lets it go on from
    the kept history. */
 static void
-answer_lost (struct entry_job *j, const Cfs__Answer *in)
+answer_lost (struct entry_request *j, const Cfs__Answer *in)
 {
   char session[TOKEN_TEXT_MAX];
 
@@ -355,9 +355,9 @@
 }
 
 void
-cfs_entry_answer (struct cfs_entry *e, const Cfs__Answer *in, int64_t now)
+cfs_entry_gate_reply (struct cfs_entry *e, const Cfs__Answer *in, int64_t now)
 {
-  struct entry_job *j = apr_hash_get (e->sent, &in->id, sizeof in->id);
+  struct entry_request *j = apr_hash_get (e->sent, &in->id, sizeof in->id);
 
   if (!j)
     return;
@@ -366,7 +366,7 @@
     answer_done (j, in);
   else if (in->code == CFS_CODE_MOVED && in->outcome == CFS_NOT_RUN)
     {
-      j->state = JOB_WAITING;
+      j->state = ENTRY_WAITING;
       j->retry_at = now + MOVED_PAUSE_US;
     }
   else if (in->code == CFS_CODE_WRITE_LOST)
@@ -379,7 +379,8 @@
 }
 
 void
-cfs_entry_granted (struct cfs_entry *e, const Cfs__TokenGrant *in, int64_t now)
+cfs_entry_token_grant (struct cfs_entry *e, const Cfs__TokenGrant *in,
+                       int64_t now)
 {
   if (in->moved)
     return;
@@ -389,7 +390,7 @@
 
 /* Whether a call that a gate may have run can be run again without harm. */
 static bool
-may_send_again (const struct entry_job *j)
+may_send_again (const struct entry_request *j)
 {
   if (j->request.kind == CFS_READ)
     return true;
@@ -399,7 +400,7 @@
 /* A job whose gate is no longer the holder: send it to the new one, or wait
    a little for the old one's answer. */
 static void
-rescue_job (struct entry_job *j, int64_t now)
+follow_gate_lease (struct entry_request *j, int64_t now)
 {
   const struct cfs_lease *gate = cfs_directory_holder (
       j->entry->setup.directory, GATE_PREFIX, j->group);
@@ -409,7 +410,7 @@
   if (may_send_again (j))
     {
       forget_id (j);
-      j->state = JOB_WAITING;
+      j->state = ENTRY_WAITING;
       j->request.unsure = true;
       forward_job (j, now);
       return;
@@ -423,7 +424,7 @@
 
 /* Why a job is late: nobody holds the gate of its group, or time ran out. */
 static enum cfs_code
-late_code (const struct entry_job *j)
+timeout_code (const struct entry_request *j)
 {
   bool held = cfs_directory_holder (j->entry->setup.directory, GATE_PREFIX,
                                     j->group);
@@ -432,17 +433,17 @@
 }
 
 static void
-tick_job (struct entry_job *j, int64_t now)
+tick_job (struct entry_request *j, int64_t now)
 {
-  if (j->state == JOB_ADMITTING)
+  if (j->state == ENTRY_ADMITTING)
     return;
   if (now >= j->request.deadline)
     {
-      entry_finish (j, late_code (j), outcome_of (j), NULL);
+      entry_finish (j, timeout_code (j), outcome_of (j), NULL);
       return;
     }
-  if (j->state == JOB_SENT)
-    rescue_job (j, now);
+  if (j->state == ENTRY_SENT)
+    follow_gate_lease (j, now);
   else
     forward_job (j, now);
 }
@@ -450,10 +451,10 @@
 void
 cfs_entry_tick (struct cfs_entry *e, int64_t now)
 {
-  struct entry_job *next;
+  struct entry_request *next;
 
   cfs_admit_tick (&e->admit, now);
-  for (struct entry_job *j = e->jobs; j; j = next)
+  for (struct entry_request *j = e->jobs; j; j = next)
     {
       next = j->next;
       tick_job (j, now);
@@ -461,12 +462,12 @@
 }
 
 void
-cfs_entry_follow (struct cfs_entry *e, int64_t now)
+cfs_entry_directory_changed (struct cfs_entry *e, int64_t now)
 {
   const struct cfs_directory *d = e->setup.directory;
 
   for (size_t i = 0; d->conf && i < d->conf->team_count; i++)
-    cfs_admit_moved (&e->admit, d->conf->teams[i].name, now);
+    cfs_admit_limiter_moved (&e->admit, d->conf->teams[i].name, now);
 }
 
 void
@@ -538,12 +539,12 @@
   const char *first = count ? parts[0] : "";
 
   if (strcmp (first, "groups") == 0 || strcmp (first, "sheets") == 0)
-    statement_request (e, call, parts, count);
+    statement_handle (e, call, parts, count);
   else if (count == 1
            && (strcmp (first, "config") == 0 || strcmp (first, "audit") == 0
                || strcmp (first, "status") == 0 || strcmp (first, "drain") == 0
                || strcmp (first, "announce") == 0))
-    operate_request (e, call, first);
+    operator_handle (e, call, first);
   else
     entry_problem (e, call, CFS_CODE_NOT_FOUND, CFS_NOT_RUN,
                    "no such resource");
--- a/src/request/entry.h
+++ b/src/request/entry.h
@@ -42,19 +42,20 @@
 void cfs_entry_request (struct cfs_entry *entry,
                         struct cfs_http_request *call);
 
-/** cfs_entry_answer() - a gate answered */
-void cfs_entry_answer (struct cfs_entry *entry, const Cfs__Answer *in,
-                       int64_t now);
+/** cfs_entry_gate_reply() - a gate answered */
+void cfs_entry_gate_reply (struct cfs_entry *entry, const Cfs__Answer *in,
+                           int64_t now);
 
-/** cfs_entry_granted() - a limiter answered */
-void cfs_entry_granted (struct cfs_entry *entry, const Cfs__TokenGrant *in,
-                        int64_t now);
+/** cfs_entry_token_grant() - a limiter answered */
+void cfs_entry_token_grant (struct cfs_entry *entry, const Cfs__TokenGrant *in,
+                            int64_t now);
 
-/** cfs_entry_called() - the control leader answered an operator */
-void cfs_entry_called (struct cfs_entry *entry, const Cfs__OperatorReply *in);
+/** cfs_entry_operator_reply() - the control leader answered an operator */
+void cfs_entry_operator_reply (struct cfs_entry *entry,
+                               const Cfs__OperatorReply *in);
 
-/** cfs_entry_follow() - acts on a changed directory */
-void cfs_entry_follow (struct cfs_entry *entry, int64_t now);
+/** cfs_entry_directory_changed() - acts on a changed directory */
+void cfs_entry_directory_changed (struct cfs_entry *entry, int64_t now);
 
 /** cfs_entry_tick() - timers; at least every 10 ms */
 void cfs_entry_tick (struct cfs_entry *entry, int64_t now);
--- a/src/request/entry_int.h
+++ b/src/request/entry_int.h
@@ -24,26 +24,26 @@
 #define MOVED_PAUSE_US (15 * CFS_US_PER_MS)
 
 /**
- * enum job_state - where a call is
- * @JOB_ADMITTING: waits for tokens
- * @JOB_WAITING: waits for a gate
- * @JOB_SENT: a gate has it
+ * enum entry_request_state - where a call is
+ * @ENTRY_ADMITTING: waits for tokens
+ * @ENTRY_WAITING: waits for a gate
+ * @ENTRY_SENT: a gate has it
  */
-enum job_state
+enum entry_request_state
 {
-  JOB_ADMITTING,
-  JOB_WAITING,
-  JOB_SENT
+  ENTRY_ADMITTING,
+  ENTRY_WAITING,
+  ENTRY_SENT
 };
 
-/** struct entry_job - one call of a caller */
-struct entry_job
+/** struct entry_request - one call of a caller */
+struct entry_request
 {
   struct cfs_request request;
   struct cfs_entry *entry;
   struct cfs_http_request *call;
   struct cfs_token token;
-  enum job_state state;
+  enum entry_request_state state;
   uint64_t id;
   uint64_t sent_epoch;
   uint64_t checked_version;
@@ -55,20 +55,20 @@
   Cfs__Param *params;
   Cfs__Param **param_list;
   size_t param_count;
-  struct entry_job *prev;
-  struct entry_job *next;
+  struct entry_request *prev;
+  struct entry_request *next;
 };
 
-/** struct announce_row - the last announcement passed to the leader */
-struct announce_row
+/** struct sent_announcement - the last announcement passed to the leader */
+struct sent_announcement
 {
   char name[CFS_NAME_MAX];
   uint64_t digest;
   int64_t at;
 };
 
-/** struct operator_call - an operator's call on its way */
-struct operator_call
+/** struct operator_request - an operator's call on its way */
+struct operator_request
 {
   uint64_t id;
   struct cfs_http_request *call;
@@ -80,12 +80,12 @@
   struct cfs_admit admit;
   apr_pool_t *pool;
   apr_hash_t *sent;
-  struct entry_job *jobs;
+  struct entry_request *jobs;
   size_t open;
   uint64_t next_id;
   unsigned char token_key[TOKEN_KEY_BYTES];
   struct cfs_table announced;
-  struct operator_call *calls;
+  struct operator_request *calls;
   size_t call_count;
   size_t call_cap;
   bool draining;
@@ -103,23 +103,23 @@
 /** entry_bearer() - the presented key, or NULL */
 const char *entry_bearer (const struct cfs_http_request *call);
 
-/** statement_request() - /v1/groups/... and /v1/sheets/... */
-void statement_request (struct cfs_entry *entry, struct cfs_http_request *call,
-                        char **parts, size_t count);
+/** statement_handle() - /v1/groups/... and /v1/sheets/... */
+void statement_handle (struct cfs_entry *entry, struct cfs_http_request *call,
+                       char **parts, size_t count);
 
-/** operate_request() - /v1/config, /v1/audit, /v1/status, /v1/announce */
-void operate_request (struct cfs_entry *entry, struct cfs_http_request *call,
+/** operator_handle() - /v1/config, /v1/audit, /v1/status, /v1/announce */
+void operator_handle (struct cfs_entry *entry, struct cfs_http_request *call,
                       const char *what);
 
 /** entry_submit() - takes a checked job into admission */
-void entry_submit (struct cfs_entry *entry, struct entry_job *job,
+void entry_submit (struct cfs_entry *entry, struct entry_request *job,
                    const struct cfs_team *team, int64_t deadline_ms);
 
 /** entry_finish() - answers a job with a refusal and frees it */
-void entry_finish (struct entry_job *job, enum cfs_code code,
+void entry_finish (struct entry_request *job, enum cfs_code code,
                    enum cfs_outcome outcome, const char *detail);
 
-/** entry_free_job() - frees a job whose call was answered */
-void entry_free_job (struct entry_job *job);
+/** entry_free_request() - frees a job whose call was answered */
+void entry_free_request (struct entry_request *job);
 
 #endif
--- a/src/request/fair.c
+++ b/src/request/fair.c
@@ -75,8 +75,8 @@
   if (t->lanes[lane].count >= FAIR_QUEUE_MAX)
     return CFS_FULL;
   t->weight = r->weight ? r->weight : 1;
-  if (t->cost_us <= 0)
-    t->cost_us = FAIR_FIRST_COST_US;
+  if (t->avg_cost_us <= 0)
+    t->avg_cost_us = FAIR_FIRST_COST_US;
   if (is_idle (t) && t->vtime < f->vtime)
     t->vtime = f->vtime;
   cfs_queue_push (&t->lanes[lane], r);
@@ -95,8 +95,8 @@
 }
 
 static struct cfs_request *
-scan_team (struct cfs_fair_team *t, enum cfs_lane lane,
-           bool (*can_run) (void *, struct cfs_request *), void *ctx)
+take_runnable (struct cfs_fair_team *t, enum cfs_lane lane,
+               bool (*can_run) (void *, struct cfs_request *), void *ctx)
 {
   struct cfs_request *prev = NULL;
   struct cfs_request *r = t->lanes[lane].head;
@@ -114,13 +114,13 @@
 static void
 charge (struct cfs_fair *f, struct cfs_fair_team *t, struct cfs_request *r)
 {
-  r->estimate_us = (int64_t)t->cost_us;
+  r->estimate_us = (int64_t)t->avg_cost_us;
   if (t->vtime > f->vtime)
     f->vtime = t->vtime;
   if (f->policy == FAIR_ROUND_ROBIN)
     t->vtime += 1.0 / t->weight;
   else
-    t->vtime += t->cost_us / t->weight;
+    t->vtime += t->avg_cost_us / t->weight;
 }
 
 struct cfs_request *
@@ -152,7 +152,7 @@
         }
       if (!best)
         return NULL;
-      r = scan_team (best, lane, can_run, ctx);
+      r = take_runnable (best, lane, can_run, ctx);
       if (r)
         {
           f->queued--;
@@ -197,14 +197,14 @@
     return;
   if (f->policy != FAIR_ROUND_ROBIN)
     t->vtime += (double)(used_us - r->estimate_us) / t->weight;
-  t->cost_us += COST_GAIN * ((double)used_us - t->cost_us);
-  if (t->cost_us < 1)
-    t->cost_us = 1;
+  t->avg_cost_us += COST_GAIN * ((double)used_us - t->avg_cost_us);
+  if (t->avg_cost_us < 1)
+    t->avg_cost_us = 1;
 }
 
 int64_t
-cfs_fair_wait (const struct cfs_fair *f, const char *team, uint32_t weight,
-               unsigned slots)
+cfs_fair_expected_wait (const struct cfs_fair *f, const char *team,
+                        uint32_t weight, unsigned slots)
 {
   const struct cfs_fair_team *own = cfs_table_find (&f->teams, team);
   double share = weight ? weight : 1;
@@ -222,6 +222,6 @@
     }
   waiting = (double)(own->lanes[CFS_LANE_READ].count
                      + own->lanes[CFS_LANE_WRITE].count);
-  return (int64_t)(waiting * own->cost_us * total / share
+  return (int64_t)(waiting * own->avg_cost_us * total / share
                    / (slots ? slots : 1));
 }
--- a/src/request/fair.h
+++ b/src/request/fair.h
@@ -40,7 +40,7 @@
   char name[CFS_NAME_MAX];
   uint32_t weight;
   double vtime;
-  double cost_us;
+  double avg_cost_us;
   struct cfs_queue lanes[CFS_LANE_COUNT];
 };
 
@@ -105,7 +105,7 @@
                     int64_t used_us);
 
 /**
- * cfs_fair_wait() - expected wait of a new request of a team
+ * cfs_fair_expected_wait() - expected wait of a new request of a team
  * @fair: queues
  * @team: its name
  * @weight: its weight
@@ -113,7 +113,7 @@
  *
  * Return: microseconds, 0 for a team with nothing waiting.
  */
-int64_t cfs_fair_wait (const struct cfs_fair *fair, const char *team,
-                       uint32_t weight, unsigned slots);
+int64_t cfs_fair_expected_wait (const struct cfs_fair *fair, const char *team,
+                                uint32_t weight, unsigned slots);
 
 #endif
--- a/src/request/gate.c
+++ b/src/request/gate.c
@@ -20,21 +20,21 @@
 #define RETRY_PAUSE_US (20 * CFS_US_PER_MS)
 
 const struct cfs_gate_tuning cfs_gate_defaults = {
-  .probe_us = 50 * CFS_US_PER_MS,
-  .probe_fast_us = 10 * CFS_US_PER_MS,
-  .suspect_us = 1000 * CFS_US_PER_MS,
-  .choose_us = 200 * CFS_US_PER_MS,
-  .stall_us = 1200 * CFS_US_PER_MS,
+  .probe_interval_us = 50 * CFS_US_PER_MS,
+  .probe_fast_interval_us = 10 * CFS_US_PER_MS,
+  .primary_timeout_us = 1000 * CFS_US_PER_MS,
+  .former_primary_wait_us = 200 * CFS_US_PER_MS,
+  .replication_stall_us = 1200 * CFS_US_PER_MS,
   .pause_us = 200 * CFS_US_PER_MS,
-  .reachable_us = 300 * CFS_US_PER_MS,
+  .reachable_timeout_us = 300 * CFS_US_PER_MS,
   .replica_wait_us = 100 * CFS_US_PER_MS,
-  .leave_us = 2 * CFS_US_PER_S,
-  .drain_idle_us = 3 * CFS_US_PER_S,
-  .transaction_us = 30 * CFS_US_PER_S,
-  .extra_percent = 50,
+  .primary_leave_timeout_us = 2 * CFS_US_PER_S,
+  .drain_transaction_idle_us = 3 * CFS_US_PER_S,
+  .transaction_timeout_us = 30 * CFS_US_PER_S,
+  .overcommit_percent = 50,
   .attempts = 4,
   .retry_ratio = 0.1,
-  .retry_max = 20,
+  .retry_budget_max = 20,
   .wait_for_replica = true,
 };
 
@@ -48,7 +48,7 @@
 };
 
 bool
-gate_leased (const struct cfs_gate *g, int64_t now)
+gate_lease_valid (const struct cfs_gate *g, int64_t now)
 {
   return g->epoch != 0 && now < g->lease_until;
 }
@@ -69,19 +69,19 @@
 }
 
 bool
-gate_has_room (const struct cfs_gate *g, unsigned inst)
+gate_has_capacity (const struct cfs_gate *g, unsigned inst)
 {
   const struct gate_instance *in = &g->inst[inst];
-  unsigned extra = (in->slots * g->tuning.extra_percent + 99) / 100;
+  unsigned extra = (in->slots * g->tuning.overcommit_percent + 99) / 100;
 
   return in->running < in->slots + extra;
 }
 
 void
-gate_answer (struct cfs_gate *g, struct cfs_request *r, enum cfs_code code,
-             enum cfs_outcome outcome, void *body)
+gate_reply (struct cfs_gate *g, struct cfs_request *r, enum cfs_code code,
+            enum cfs_outcome outcome, void *body)
 {
-  struct cfs_verdict v = { .code = code, .outcome = outcome, .body = body };
+  struct cfs_gate_reply v = { .code = code, .outcome = outcome, .body = body };
 
   if (r->unsure && outcome == CFS_NOT_RUN && code != CFS_CODE_SQL_ERROR)
     v.outcome = CFS_UNKNOWN;
@@ -92,7 +92,7 @@
 
 /* Outcome of a request that is given up now: sent ones are not certain. */
 static enum cfs_outcome
-given_up (const struct cfs_request *r)
+abandoned_outcome (const struct cfs_request *r)
 {
   return r->attempts ? CFS_UNKNOWN : CFS_NOT_RUN;
 }
@@ -113,9 +113,9 @@
 
 /* Whether the same team's key is running or waits for replicas. */
 static bool
-key_is_busy (const struct cfs_gate *g, const struct cfs_request *r)
+key_in_use (const struct cfs_gate *g, const struct cfs_request *r)
 {
-  for (unsigned c = 0; c < g->conn_top; c++)
+  for (unsigned c = 0; c < g->conn_used; c++)
     {
       const struct cfs_request *o = g->conn[c].request;
 
@@ -131,7 +131,7 @@
   struct scan *s = ctx;
   const struct gate_instance *in = &s->gate->inst[s->inst];
 
-  if (s->now < r->not_before || (*r->key && key_is_busy (s->gate, r)))
+  if (s->now < r->not_before || (*r->key && key_in_use (s->gate, r)))
     return false;
   if (r->kind == CFS_BEGIN && in->pinned * 2 >= gate_conn_limit (in))
     return false;
@@ -140,7 +140,7 @@
 }
 
 static enum cfs_work
-work_of (const struct cfs_request *r)
+work_for (const struct cfs_request *r)
 {
   switch (r->kind)
     {
@@ -166,7 +166,7 @@
 
   conn->state = CONN_BUSY;
   conn->request = r;
-  conn->work = work_of (r);
+  conn->work = work_for (r);
   conn->started_at = now;
   conn->term = g->group.term;
   g->inst[conn->inst].running++;
@@ -183,34 +183,34 @@
   struct cfs_request *r;
   int primary = gate_primary (g);
 
-  if (!gate_leased (g, now) || g->fair.queued == 0)
+  if (!gate_lease_valid (g, now) || g->fair.queued == 0)
     return;
   while ((r = cfs_fair_pop (&g->fair, CFS_LANE_READ, can_read, &s)))
     run (g, (unsigned)s.conn, r, now);
   if (primary < 0 || g->phase != PHASE_SERVING || g->inst[primary].leaving)
     return;
   s.inst = primary;
-  while (gate_has_room (g, (unsigned)primary)
+  while (gate_has_capacity (g, (unsigned)primary)
          && (r = cfs_fair_pop (&g->fair, CFS_LANE_WRITE, can_write, &s)))
     run (g, (unsigned)s.conn, r, now);
 }
 
 static enum cfs_lane
-lane_of (const struct cfs_request *r)
+request_lane (const struct cfs_request *r)
 {
   return r->kind == CFS_READ ? CFS_LANE_READ : CFS_LANE_WRITE;
 }
 
 /* Queues a request again if its attempts and the budget allow. */
 bool
-gate_try_again (struct cfs_gate *g, struct cfs_request *r, int64_t now)
+gate_retry (struct cfs_gate *g, struct cfs_request *r, int64_t now)
 {
   if (r->once || r->attempts >= g->tuning.attempts || g->retry_budget < 1
       || now + RETRY_PAUSE_US >= r->deadline)
     return false;
   r->not_before = now + RETRY_PAUSE_US
                   + (int64_t)(cfs_random (&g->seed) % RETRY_PAUSE_US);
-  if (cfs_fair_push (&g->fair, lane_of (r), r) != CFS_OK)
+  if (cfs_fair_push (&g->fair, request_lane (r), r) != CFS_OK)
     return false;
   g->retry_budget -= 1;
   g->stats.retries++;
@@ -219,25 +219,25 @@
 
 static void
 finish_read (struct cfs_gate *g, const struct gate_conn *conn,
-             struct cfs_request *r, const struct cfs_ran_result *res,
+             struct cfs_request *r, const struct cfs_work_result *res,
              int64_t now)
 {
-  struct cfs_verdict v = { .code = CFS_CODE_OK,
-                           .outcome = CFS_DONE,
-                           .term = res->term,
-                           .position = res->position,
-                           .body = res->body };
+  struct cfs_gate_reply v = { .code = CFS_CODE_OK,
+                              .outcome = CFS_DONE,
+                              .term = res->term,
+                              .position = res->position,
+                              .body = res->body };
   bool kept = route_token (&g->group, r->token_term, r->token_position)
                   == TOKEN_VALID
               && route_token (&g->group, res->term, res->seen) == TOKEN_VALID
               && res->position >= r->token_position;
 
-  if (!gate_leased (g, now) || !kept)
+  if (!gate_lease_valid (g, now) || !kept)
     {
       g->ops->discard (g->ctx, res->body);
-      if (gate_leased (g, now) && gate_try_again (g, r, now))
+      if (gate_lease_valid (g, now) && gate_retry (g, r, now))
         return;
-      gate_answer (g, r, CFS_CODE_NO_LEASE, CFS_UNKNOWN, NULL);
+      gate_reply (g, r, CFS_CODE_NO_LEASE, CFS_UNKNOWN, NULL);
       return;
     }
   v.replica = (int)conn->inst != gate_primary (g);
@@ -250,7 +250,7 @@
 
 static void
 finish_write (struct cfs_gate *g, const struct gate_conn *conn,
-              struct cfs_request *r, const struct cfs_ran_result *res,
+              struct cfs_request *r, const struct cfs_work_result *res,
               int64_t now)
 {
   g->stats.writes++;
@@ -260,69 +260,69 @@
       return;
     }
   g->ops->discard (g->ctx, res->body);
-  gate_answer (g, r, CFS_CODE_SUPERSEDED, CFS_UNKNOWN, NULL);
+  gate_reply (g, r, CFS_CODE_SUPERSEDED, CFS_UNKNOWN, NULL);
 }
 
 static void
 finish_ok (struct cfs_gate *g, const struct gate_conn *conn,
-           struct cfs_request *r, const struct cfs_ran_result *res,
+           struct cfs_request *r, const struct cfs_work_result *res,
            int64_t now)
 {
   if (r->kind == CFS_READ)
     finish_read (g, conn, r, res, now);
   else if (r->kind == CFS_WRITE || r->kind == CFS_COMMIT)
     finish_write (g, conn, r, res, now);
-  else if (gate_leased (g, now))
-    gate_answer (g, r, CFS_CODE_OK, CFS_DONE, res->body);
+  else if (gate_lease_valid (g, now))
+    gate_reply (g, r, CFS_CODE_OK, CFS_DONE, res->body);
   else
     {
       g->ops->discard (g->ctx, res->body);
-      gate_answer (g, r, CFS_CODE_NO_LEASE, CFS_UNKNOWN, NULL);
+      gate_reply (g, r, CFS_CODE_NO_LEASE, CFS_UNKNOWN, NULL);
     }
 }
 
 /* A connection ended under a request. */
 static void
-finish_lost (struct cfs_gate *g, struct cfs_request *r, enum cfs_ran ran,
-             int64_t now)
+finish_lost (struct cfs_gate *g, struct cfs_request *r,
+             enum cfs_work_status ran, int64_t now)
 {
-  bool unsure = ran == RAN_UNKNOWN && r->kind != CFS_READ;
+  bool unsure = ran == WORK_STATUS_UNKNOWN && r->kind != CFS_READ;
   bool single = r->kind == CFS_READ || r->kind == CFS_WRITE;
 
   r->unsure |= unsure;
-  if (single && (!unsure || *r->key) && gate_try_again (g, r, now))
+  if (single && (!unsure || *r->key) && gate_retry (g, r, now))
     return;
   if (r->kind == CFS_STATEMENT || r->kind == CFS_ROLLBACK)
-    gate_answer (g, r, CFS_CODE_TRANSACTION_LOST, CFS_NOT_RUN, NULL);
+    gate_reply (g, r, CFS_CODE_TRANSACTION_LOST, CFS_NOT_RUN, NULL);
   else
-    gate_answer (g, r,
-                 now >= r->deadline ? CFS_CODE_DEADLINE
-                                    : CFS_CODE_CONNECTION_LOST,
-                 ran == RAN_UNKNOWN ? CFS_UNKNOWN : CFS_NOT_RUN, NULL);
+    gate_reply (g, r,
+                now >= r->deadline ? CFS_CODE_DEADLINE
+                                   : CFS_CODE_CONNECTION_LOST,
+                ran == WORK_STATUS_UNKNOWN ? CFS_UNKNOWN : CFS_NOT_RUN, NULL);
 }
 
 static void
 finish (struct cfs_gate *g, const struct gate_conn *conn,
-        struct cfs_request *r, const struct cfs_ran_result *res, int64_t now)
+        struct cfs_request *r, const struct cfs_work_result *res, int64_t now)
 {
   switch (res->ran)
     {
-    case RAN_OK:
-    case RAN_REPLAYED:
+    case WORK_STATUS_OK:
+    case WORK_STATUS_REPLAYED:
       finish_ok (g, conn, r, res, now);
       break;
-    case RAN_ERROR:
-      gate_answer (g, r, CFS_CODE_SQL_ERROR, CFS_NOT_RUN, res->body);
+    case WORK_STATUS_ERROR:
+      gate_reply (g, r, CFS_CODE_SQL_ERROR, CFS_NOT_RUN, res->body);
       break;
-    case RAN_KEY_REUSED:
+    case WORK_STATUS_KEY_REUSED:
       g->ops->discard (g->ctx, res->body);
-      gate_answer (g, r, CFS_CODE_KEY_REUSED, CFS_NOT_RUN, NULL);
+      gate_reply (g, r, CFS_CODE_KEY_REUSED, CFS_NOT_RUN, NULL);
       break;
-    case RAN_LOCKED:
+    case WORK_STATUS_KEY_LOCKED:
       g->ops->discard (g->ctx, res->body);
       r->attempts--;
-      if (!gate_try_again (g, r, now))
-        gate_answer (g, r, CFS_CODE_OVERLOADED, CFS_NOT_RUN, NULL);
+      if (!gate_retry (g, r, now))
+        gate_reply (g, r, CFS_CODE_OVERLOADED, CFS_NOT_RUN, NULL);
       break;
     default:
       g->ops->discard (g->ctx, res->body);
@@ -334,12 +334,13 @@
 /* What becomes of the connection after its work. */
 static void
 release_conn (struct cfs_gate *g, unsigned c, const struct gate_conn *before,
-              const struct cfs_ran_result *res, int64_t now)
+              const struct cfs_work_result *res, int64_t now)
 {
   struct gate_conn *conn = &g->conn[c];
-  bool opens = before->work == WORK_BEGIN && res->ran == RAN_OK;
-  bool inside = before->work == WORK_STATEMENT
-                && (res->ran == RAN_OK || res->ran == RAN_ERROR);
+  bool opens = before->work == WORK_BEGIN && res->ran == WORK_STATUS_OK;
+  bool inside
+      = before->work == WORK_STATEMENT
+        && (res->ran == WORK_STATUS_OK || res->ran == WORK_STATUS_ERROR);
 
   conn->request = NULL;
   if (!res->clean || g->inst[conn->inst].leaving)
@@ -371,7 +372,7 @@
 /* Transactions die with a failed statement as in PostgreSQL, so the pinned
    connection stays until the caller ends it. */
 static void
-end_work (struct cfs_gate *g, unsigned c, const struct cfs_ran_result *res,
+end_work (struct cfs_gate *g, unsigned c, const struct cfs_work_result *res,
           int64_t now)
 {
   struct gate_conn before = g->conn[c];
@@ -385,7 +386,7 @@
 static void
 abort_conn (struct cfs_gate *g, unsigned c, int64_t now)
 {
-  struct cfs_ran_result res = { .ran = RAN_UNKNOWN };
+  struct cfs_work_result res = { .ran = WORK_STATUS_UNKNOWN };
 
   if (g->conn[c].state == CONN_BUSY)
     end_work (g, c, &res, now);
@@ -394,15 +395,15 @@
 }
 
 static void
-drop_connections (struct cfs_gate *g, int64_t now)
+abort_all_conns (struct cfs_gate *g, int64_t now)
 {
-  for (unsigned c = 0; c < g->conn_top; c++)
+  for (unsigned c = 0; c < g->conn_used; c++)
     if (g->conn[c].state != CONN_FREE)
       abort_conn (g, c, now);
 }
 
 static bool
-any_request (void *ctx, struct cfs_request *r)
+match_any (void *ctx, struct cfs_request *r)
 {
   (void)ctx;
   (void)r;
@@ -411,22 +412,22 @@
 
 /* Sends everything that waits back to where it came from. */
 static void
-turn_away (struct cfs_gate *g)
+redirect_queued (struct cfs_gate *g)
 {
   for (int lane = 0; lane < CFS_LANE_COUNT; lane++)
     {
       struct cfs_request *r;
 
-      while ((
-          r = cfs_fair_pop (&g->fair, (enum cfs_lane)lane, any_request, NULL)))
-        gate_answer (g, r, CFS_CODE_MOVED, given_up (r), NULL);
+      while (
+          (r = cfs_fair_pop (&g->fair, (enum cfs_lane)lane, match_any, NULL)))
+        gate_reply (g, r, CFS_CODE_MOVED, abandoned_outcome (r), NULL);
     }
 }
 
 static int
 transaction_conn (const struct cfs_gate *g, const struct cfs_request *r)
 {
-  for (unsigned c = 0; c < g->conn_top; c++)
+  for (unsigned c = 0; c < g->conn_used; c++)
     if (*g->conn[c].transaction
         && strcmp (g->conn[c].transaction, r->transaction) == 0
         && strcmp (g->conn[c].team, r->team) == 0)
@@ -435,18 +436,18 @@
 }
 
 static void
-submit_inside (struct cfs_gate *g, struct cfs_request *r, int64_t now)
+submit_in_transaction (struct cfs_gate *g, struct cfs_request *r, int64_t now)
 {
   int c = transaction_conn (g, r);
 
   if (c < 0)
-    gate_answer (g, r, CFS_CODE_TRANSACTION_LOST, CFS_NOT_RUN, NULL);
+    gate_reply (g, r, CFS_CODE_TRANSACTION_LOST, CFS_NOT_RUN, NULL);
   else if (g->conn[c].state != CONN_PINNED)
-    gate_answer (g, r, CFS_CODE_TRANSACTION_BUSY, CFS_NOT_RUN, NULL);
+    gate_reply (g, r, CFS_CODE_TRANSACTION_BUSY, CFS_NOT_RUN, NULL);
   else if (g->phase != PHASE_SERVING || g->conn[c].term != g->group.term)
     {
       gate_conn_close (g, (unsigned)c);
-      gate_answer (g, r, CFS_CODE_TRANSACTION_LOST, CFS_NOT_RUN, NULL);
+      gate_reply (g, r, CFS_CODE_TRANSACTION_LOST, CFS_NOT_RUN, NULL);
     }
   else
     run (g, (unsigned)c, r, now);
@@ -455,9 +456,9 @@
 /* Tells a session that a change it has seen is gone, and where the kept
    history goes on, so that it can go on from there. */
 static void
-refuse_lost (struct cfs_gate *g, struct cfs_request *r)
+reply_write_lost (struct cfs_gate *g, struct cfs_request *r)
 {
-  struct cfs_verdict v
+  struct cfs_gate_reply v
       = { .code = CFS_CODE_WRITE_LOST, .outcome = CFS_NOT_RUN };
 
   v.term = g->group.term;
@@ -499,7 +500,7 @@
   g->tuning = *tuning;
   g->seed = seed ? seed : 1;
   g->size = 3;
-  g->retry_budget = tuning->retry_max;
+  g->retry_budget = tuning->retry_budget_max;
   cfs_fair_init (&g->fair, FAIR_VIRTUAL_TIME);
   return g;
 }
@@ -511,7 +512,7 @@
     return;
   cfs_gate_assign (g, 0, now);
   cfs_fair_end (&g->fair);
-  free (g->acks);
+  free (g->pending_acks);
   free (g);
 }
 
@@ -521,13 +522,13 @@
   if (g->epoch == epoch)
     return;
   g->epoch = 0;
-  drop_connections (g, now);
-  gate_settle (g, now);
-  turn_away (g);
+  abort_all_conns (g, now);
+  gate_check_acks (g, now);
+  redirect_queued (g);
   g->epoch = epoch;
   g->draining = false;
   g->used_term = 0;
-  promote_phase (g, PHASE_IDLE, now);
+  promote_set_phase (g, PHASE_IDLE, now);
 }
 
 void
@@ -547,13 +548,14 @@
 }
 
 void
-cfs_gate_wait_for_replica (struct cfs_gate *g, bool wait)
+cfs_gate_set_wait_for_replica (struct cfs_gate *g, bool wait)
 {
   g->tuning.wait_for_replica = wait;
 }
 
 void
-cfs_gate_group (struct cfs_gate *g, const struct cfs_group *group, int64_t now)
+cfs_gate_set_group (struct cfs_gate *g, const struct cfs_group *group,
+                    int64_t now)
 {
   uint64_t old = g->group.term;
 
@@ -561,17 +563,18 @@
   if (old == group->term)
     return;
   if (group->branch_count)
-    route_branch (g, group->branches[group->branch_count - 1].start);
-  for (unsigned c = 0; c < g->conn_top; c++)
+    route_clip_samples (g, group->branches[group->branch_count - 1].start);
+  for (unsigned c = 0; c < g->conn_used; c++)
     if (*g->conn[c].transaction)
       abort_conn (g, c, now);
   if (g->epoch)
-    promote_phase (g, PHASE_IDLE, now);
-  gate_settle (g, now);
+    promote_set_phase (g, PHASE_IDLE, now);
+  gate_check_acks (g, now);
 }
 
 void
-cfs_gate_instance (struct cfs_gate *g, const Cfs__Instance *in, int64_t now)
+cfs_gate_update_instance (struct cfs_gate *g, const Cfs__Instance *in,
+                          int64_t now)
 {
   struct gate_instance *row = NULL;
 
@@ -600,42 +603,43 @@
 void
 cfs_gate_submit (struct cfs_gate *g, struct cfs_request *r, int64_t now)
 {
-  enum cfs_lane lane = lane_of (r);
+  enum cfs_lane lane = request_lane (r);
   int64_t wait;
 
   g->stats.asked++;
   r->arrived_at = now;
   g->retry_budget += g->tuning.retry_ratio;
-  if (g->retry_budget > g->tuning.retry_max)
-    g->retry_budget = g->tuning.retry_max;
+  if (g->retry_budget > g->tuning.retry_budget_max)
+    g->retry_budget = g->tuning.retry_budget_max;
   if (r->kind >= CFS_STATEMENT)
     {
-      if (gate_leased (g, now))
-        submit_inside (g, r, now);
+      if (gate_lease_valid (g, now))
+        submit_in_transaction (g, r, now);
       else
-        gate_answer (g, r, CFS_CODE_MOVED, CFS_NOT_RUN, NULL);
+        gate_reply (g, r, CFS_CODE_MOVED, CFS_NOT_RUN, NULL);
       return;
     }
   if (g->epoch == 0 || g->draining)
     {
-      gate_answer (g, r, CFS_CODE_MOVED, CFS_NOT_RUN, NULL);
+      gate_reply (g, r, CFS_CODE_MOVED, CFS_NOT_RUN, NULL);
       return;
     }
   if (route_token (&g->group, r->token_term, r->token_position) == TOKEN_LOST)
     {
-      refuse_lost (g, r);
+      reply_write_lost (g, r);
       return;
     }
-  wait = cfs_fair_wait (&g->fair, r->team, r->weight, serving_slots (g, lane));
+  wait = cfs_fair_expected_wait (&g->fair, r->team, r->weight,
+                                 serving_slots (g, lane));
   if (wait > r->deadline - now)
     {
-      gate_answer (g, r, CFS_CODE_OVERLOADED, CFS_NOT_RUN, NULL);
+      gate_reply (g, r, CFS_CODE_OVERLOADED, CFS_NOT_RUN, NULL);
       return;
     }
   if (r->kind == CFS_BEGIN)
     make_transaction_id (g, r);
   if (cfs_fair_push (&g->fair, lane, r) != CFS_OK)
-    gate_answer (g, r, CFS_CODE_OVERLOADED, CFS_NOT_RUN, NULL);
+    gate_reply (g, r, CFS_CODE_OVERLOADED, CFS_NOT_RUN, NULL);
   else
     dispatch (g, now);
 }
@@ -651,7 +655,7 @@
 }
 
 void
-cfs_gate_lost (struct cfs_gate *g, unsigned c, int64_t now)
+cfs_gate_disconnected (struct cfs_gate *g, unsigned c, int64_t now)
 {
   struct gate_conn *conn = &g->conn[c];
 
@@ -662,8 +666,8 @@
 }
 
 void
-cfs_gate_ran (struct cfs_gate *g, unsigned c, const struct cfs_ran_result *res,
-              int64_t now)
+cfs_gate_work_done (struct cfs_gate *g, unsigned c,
+                    const struct cfs_work_result *res, int64_t now)
 {
   if (g->conn[c].state != CONN_BUSY)
     {
@@ -683,17 +687,17 @@
 {
   struct gate_instance *in = &g->inst[inst];
 
-  if (inst >= g->inst_count || sent_at < in->probe_sent_at)
+  if (inst >= g->inst_count || sent_at < in->last_probe_sent_at)
     return;
   in->term = term;
   in->position = position;
   in->start = start;
   in->primary = primary;
-  in->probed_at = now;
-  in->probe_sent_at = sent_at;
+  in->last_probe_reply_at = now;
+  in->last_probe_sent_at = sent_at;
   if ((int)inst == gate_primary (g) && primary && term == g->group.term)
-    route_sample (g, position, sent_at);
-  gate_settle (g, now);
+    route_add_sample (g, position, sent_at);
+  gate_check_acks (g, now);
   promote_tick (g, now);
   dispatch (g, now);
 }
@@ -706,9 +710,10 @@
   for (unsigned i = 0; i < g->inst_count; i++)
     {
       struct gate_instance *in = &g->inst[i];
-      bool fast
-          = g->phase > PHASE_SERVING || (g->ack_count && (int)i != primary);
-      int64_t every = fast ? g->tuning.probe_fast_us : g->tuning.probe_us;
+      bool fast = g->phase > PHASE_SERVING
+                  || (g->pending_ack_count && (int)i != primary);
+      int64_t every = fast ? g->tuning.probe_fast_interval_us
+                           : g->tuning.probe_interval_us;
 
       if (now - in->asked_at < every)
         continue;
@@ -720,14 +725,14 @@
 static void
 check_connections (struct cfs_gate *g, int64_t now)
 {
-  for (unsigned c = 0; c < g->conn_top; c++)
+  for (unsigned c = 0; c < g->conn_used; c++)
     {
       const struct gate_conn *conn = &g->conn[c];
 
       if (conn->state == CONN_BUSY && now >= conn->request->deadline)
         abort_conn (g, c, now);
       else if (conn->state == CONN_PINNED
-               && now - conn->idle_since > g->tuning.transaction_us)
+               && now - conn->idle_since > g->tuning.transaction_timeout_us)
         gate_conn_close (g, c);
       else if (conn->state == CONN_IDLE && g->inst[conn->inst].leaving)
         gate_conn_close (g, c);
@@ -748,14 +753,14 @@
 {
   struct cfs_request *r;
 
-  if (g->ticked_at && now - g->ticked_at > g->tuning.pause_us)
-    g->pause_base = now;
-  g->ticked_at = now;
+  if (g->last_tick_at && now - g->last_tick_at > g->tuning.pause_us)
+    g->resumed_at = now;
+  g->last_tick_at = now;
   while ((r = cfs_fair_expire (&g->fair, now)))
-    gate_answer (g, r, CFS_CODE_DEADLINE, given_up (r), NULL);
-  gate_settle (g, now);
+    gate_reply (g, r, CFS_CODE_DEADLINE, abandoned_outcome (r), NULL);
+  gate_check_acks (g, now);
   check_connections (g, now);
-  if (!gate_leased (g, now))
+  if (!gate_lease_valid (g, now))
     return;
   send_probes (g, now);
   warm_connections (g, now);
@@ -769,18 +774,18 @@
   bool busy = false;
 
   g->draining = true;
-  turn_away (g);
-  gate_settle (g, now);
-  for (unsigned c = 0; c < g->conn_top; c++)
+  redirect_queued (g);
+  gate_check_acks (g, now);
+  for (unsigned c = 0; c < g->conn_used; c++)
     {
       const struct gate_conn *conn = &g->conn[c];
 
       if (conn->state == CONN_PINNED
-          && now - conn->idle_since > g->tuning.drain_idle_us)
+          && now - conn->idle_since > g->tuning.drain_transaction_idle_us)
         gate_conn_close (g, c);
       busy |= conn->state == CONN_BUSY || conn->state == CONN_PINNED;
     }
-  return !busy && g->ack_count == 0;
+  return !busy && g->pending_ack_count == 0;
 }
 
 bool
@@ -790,7 +795,7 @@
   out->group = g->name;
   out->epoch = g->epoch;
   out->used_term = g->used_term;
-  out->want_term = g->phase == PHASE_ASKING;
+  out->want_term = g->phase == PHASE_REQUESTING_TERM;
   if (g->phase == PHASE_CONFIRMING)
     {
       out->promoted_term = g->group.granted_term;
@@ -809,7 +814,7 @@
 bool
 cfs_gate_serving (const struct cfs_gate *g, int64_t now)
 {
-  return gate_leased (g, now) && g->phase == PHASE_SERVING;
+  return gate_lease_valid (g, now) && g->phase == PHASE_SERVING;
 }
 
 const struct cfs_gate_stats *
--- a/src/request/gate.h
+++ b/src/request/gate.h
@@ -19,22 +19,25 @@
 /** struct cfs_gate_tuning - one row of tuning values; times in microseconds */
 struct cfs_gate_tuning
 {
-  int64_t probe_us;        /* time between probes of an instance */
-  int64_t probe_fast_us;   /* the same while a write waits for replicas */
-  int64_t suspect_us;      /* silence that makes a primary suspect */
-  int64_t choose_us;       /* wait for others than the former primary */
-  int64_t stall_us;        /* replication standstill that does so */
-  int64_t pause_us;        /* gap between ticks taken as a pause of ours */
-  int64_t reachable_us;    /* silence after which no read goes there */
-  int64_t replica_wait_us; /* longest wait for a replica to catch up */
-  int64_t leave_us;        /* longest wait for a leaving primary's work */
-  int64_t transaction_us;  /* idle time after which one is rolled back */
-  int64_t drain_idle_us;   /* the same while the gate is drained */
-  unsigned extra_percent;  /* statements admitted beyond the slots */
-  unsigned attempts;       /* times one request may be sent */
-  double retry_ratio;      /* retries earned by each request */
-  double retry_max;        /* retries that may be saved up */
-  bool wait_for_replica;   /* wait for a replica rather than the primary */
+  int64_t probe_interval_us; /* time between probes of an instance */
+  int64_t
+      probe_fast_interval_us; /* the same while a write waits for replicas */
+  int64_t primary_timeout_us; /* silence that makes a primary suspect */
+  int64_t former_primary_wait_us; /* wait for others than the former primary */
+  int64_t replication_stall_us;   /* replication standstill that does so */
+  int64_t pause_us; /* gap between ticks taken as a pause of ours */
+  int64_t reachable_timeout_us; /* silence after which no read goes there */
+  int64_t replica_wait_us;      /* longest wait for a replica to catch up */
+  int64_t
+      primary_leave_timeout_us; /* longest wait for a leaving primary's work */
+  int64_t
+      transaction_timeout_us; /* idle time after which one is rolled back */
+  int64_t drain_transaction_idle_us; /* the same while the gate is drained */
+  unsigned overcommit_percent;       /* statements admitted beyond the slots */
+  unsigned attempts;                 /* times one request may be sent */
+  double retry_ratio;                /* retries earned by each request */
+  double retry_budget_max;           /* retries that may be saved up */
+  bool wait_for_replica; /* wait for a replica rather than the primary */
 };
 
 /** cfs_gate_defaults - the row used in service */
@@ -62,37 +65,38 @@
 };
 
 /**
- * enum cfs_ran - how a piece of work ended
- * @RAN_OK: done and, where it commits, committed
- * @RAN_ERROR: the target refused the statement; nothing of it remains
- * @RAN_REPLAYED: the key's outcome had been recorded; the body is that one
- * @RAN_KEY_REUSED: the key was used for another statement; not run
- * @RAN_LOCKED: another run of the same key is open; not run
- * @RAN_NOT_RUN: the connection ended before anything could take effect
- * @RAN_UNKNOWN: the connection ended after a commit may have been seen
+ * enum cfs_work_status - how a piece of work ended
+ * @WORK_STATUS_OK: done and, where it commits, committed
+ * @WORK_STATUS_ERROR: the target refused the statement; nothing of it remains
+ * @WORK_STATUS_REPLAYED: the key's outcome had been recorded; the body is that
+ * one
+ * @WORK_STATUS_KEY_REUSED: the key was used for another statement; not run
+ * @WORK_STATUS_KEY_LOCKED: another run of the same key is open; not run
+ * @WORK_STATUS_NOT_RUN: the connection ended before anything could take effect
+ * @WORK_STATUS_UNKNOWN: the connection ended after a commit may have been seen
  */
-enum cfs_ran
+enum cfs_work_status
 {
-  RAN_OK = 0,
-  RAN_ERROR,
-  RAN_REPLAYED,
-  RAN_KEY_REUSED,
-  RAN_LOCKED,
-  RAN_NOT_RUN,
-  RAN_UNKNOWN
+  WORK_STATUS_OK = 0,
+  WORK_STATUS_ERROR,
+  WORK_STATUS_REPLAYED,
+  WORK_STATUS_KEY_REUSED,
+  WORK_STATUS_KEY_LOCKED,
+  WORK_STATUS_NOT_RUN,
+  WORK_STATUS_UNKNOWN
 };
 
 /**
- * struct cfs_ran_result - result of a piece of work
+ * struct cfs_work_result - result of a piece of work
  * @term: term of the history that the instance held
  * @position: everything up to it is included
  * @seen: of a read, nothing behind it is included
  * @clean: whether the connection can be used again
  * @body: owned by the adapter
  */
-struct cfs_ran_result
+struct cfs_work_result
 {
-  enum cfs_ran ran;
+  enum cfs_work_status ran;
   uint64_t term;
   uint64_t position;
   uint64_t seen;
@@ -100,8 +104,8 @@
   void *body;
 };
 
-/** struct cfs_verdict - answer to a request */
-struct cfs_verdict
+/** struct cfs_gate_reply - answer to a request */
+struct cfs_gate_reply
 {
   enum cfs_code code;
   enum cfs_outcome outcome;
@@ -117,7 +121,7 @@
  * struct cfs_gate_ops - effects of the gate
  * @connect: opens connection @conn to instance @inst
  * @close: closes connection @conn; a late result of it must not come
- * @run: starts work; its end comes by cfs_gate_ran()
+ * @run: starts work; its end comes by cfs_gate_work_done()
  * @answer: ends a request; it and the body are the receiver's again
  * @probe: asks an instance for its position; comes by cfs_gate_probed()
  * @promote: orders an instance to lead in a term; seen by later probes
@@ -130,7 +134,7 @@
   void (*run) (void *ctx, unsigned conn, enum cfs_work work,
                struct cfs_request *request);
   void (*answer) (void *ctx, struct cfs_request *request,
-                  const struct cfs_verdict *verdict);
+                  const struct cfs_gate_reply *verdict);
   void (*probe) (void *ctx, unsigned inst);
   void (*promote) (void *ctx, unsigned inst, uint64_t term);
   void (*discard) (void *ctx, void *body);
@@ -187,16 +191,18 @@
 void cfs_gate_configure (struct cfs_gate *gate, unsigned size,
                          bool ack_primary);
 
-/** cfs_gate_wait_for_replica() - policy of reads that no replica can serve */
-void cfs_gate_wait_for_replica (struct cfs_gate *gate, bool wait);
+/** cfs_gate_set_wait_for_replica() - policy of reads that no replica can serve
+ */
+void cfs_gate_set_wait_for_replica (struct cfs_gate *gate, bool wait);
 
-/** cfs_gate_group() - terms of the group as the control group decided */
-void cfs_gate_group (struct cfs_gate *gate, const struct cfs_group *group,
-                     int64_t now);
+/** cfs_gate_set_group() - terms of the group as the control group decided */
+void cfs_gate_set_group (struct cfs_gate *gate, const struct cfs_group *group,
+                         int64_t now);
 
-/** cfs_gate_instance() - an instance announced itself or was passed on */
-void cfs_gate_instance (struct cfs_gate *gate, const Cfs__Instance *instance,
-                        int64_t now);
+/** cfs_gate_update_instance() - an instance announced itself or was passed on
+ */
+void cfs_gate_update_instance (struct cfs_gate *gate,
+                               const Cfs__Instance *instance, int64_t now);
 
 /**
  * cfs_gate_submit() - takes a request
@@ -210,12 +216,12 @@
 /** cfs_gate_connected() - a connection is usable */
 void cfs_gate_connected (struct cfs_gate *gate, unsigned conn, int64_t now);
 
-/** cfs_gate_lost() - an idle or opening connection ended */
-void cfs_gate_lost (struct cfs_gate *gate, unsigned conn, int64_t now);
+/** cfs_gate_disconnected() - an idle or opening connection ended */
+void cfs_gate_disconnected (struct cfs_gate *gate, unsigned conn, int64_t now);
 
-/** cfs_gate_ran() - work on a connection ended */
-void cfs_gate_ran (struct cfs_gate *gate, unsigned conn,
-                   const struct cfs_ran_result *result, int64_t now);
+/** cfs_gate_work_done() - work on a connection ended */
+void cfs_gate_work_done (struct cfs_gate *gate, unsigned conn,
+                         const struct cfs_work_result *result, int64_t now);
 
 /**
  * cfs_gate_probed() - answer to a probe
--- a/src/request/gate_ack.c
+++ b/src/request/gate_ack.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 static unsigned
-holders_of (const struct cfs_gate *g, uint64_t position)
+count_holders (const struct cfs_gate *g, uint64_t position)
 {
   int primary = gate_primary (g);
   unsigned n = 1;
@@ -22,28 +22,28 @@
 /* A write of an earlier term that the kept history includes stands at the
    same position of the present term, but a majority must hold it there. */
 static bool
-may_acknowledge (const struct cfs_gate *g, struct cfs_verdict *v)
+may_acknowledge (const struct cfs_gate *g, struct cfs_gate_reply *v)
 {
   if (v->term < g->group.term
       && route_token (&g->group, v->term, v->position) == TOKEN_VALID)
     v->term = g->group.term;
   if (v->term != g->group.term)
     return false;
-  if (g->phase != PHASE_SERVING && g->phase != PHASE_ASKING)
+  if (g->phase != PHASE_SERVING && g->phase != PHASE_REQUESTING_TERM)
     return false;
   if (g->ack_primary)
     return g->phase == PHASE_SERVING;
-  return holders_of (g, v->position) >= gate_majority (g);
+  return count_holders (g, v->position) >= gate_majority (g);
 }
 
 /* Settles one waiting write.  Returns whether it is done with. */
 static bool
-settle_one (struct cfs_gate *g, struct gate_ack *a, int64_t now)
+resolve_ack (struct cfs_gate *g, struct gate_pending_ack *a, int64_t now)
 {
-  struct cfs_verdict *v = &a->verdict;
+  struct cfs_gate_reply *v = &a->verdict;
   struct cfs_request *r = a->request;
 
-  if (!gate_leased (g, now))
+  if (!gate_lease_valid (g, now))
     {
       v->code = CFS_CODE_NO_LEASE;
       v->outcome = CFS_UNKNOWN;
@@ -55,7 +55,7 @@
     }
   else if (v->term < g->group.term)
     {
-      if (*r->key && gate_try_again (g, r, now))
+      if (*r->key && gate_retry (g, r, now))
         {
           g->ops->discard (g->ctx, v->body);
           return true;
@@ -75,30 +75,31 @@
 }
 
 void
-gate_settle (struct cfs_gate *g, int64_t now)
+gate_check_acks (struct cfs_gate *g, int64_t now)
 {
   size_t kept = 0;
 
-  /* Invariant: acks before kept still wait; those between kept and i are
-     done with. */
-  for (size_t i = 0; i < g->ack_count; i++)
-    if (!settle_one (g, &g->acks[i], now))
-      g->acks[kept++] = g->acks[i];
-  g->ack_count = kept;
+  /* Invariant: pending_acks before kept still wait; those between kept and i
+     are done with. */
+  for (size_t i = 0; i < g->pending_ack_count; i++)
+    if (!resolve_ack (g, &g->pending_acks[i], now))
+      g->pending_acks[kept++] = g->pending_acks[i];
+  g->pending_ack_count = kept;
 }
 
 void
 gate_wait_for_majority (struct cfs_gate *g, struct cfs_request *r,
-                        const struct cfs_ran_result *res, int64_t now)
+                        const struct cfs_work_result *res, int64_t now)
 {
-  struct gate_ack *a;
+  struct gate_pending_ack *a;
 
-  cfs_grow (&g->acks, &g->ack_cap, g->ack_count, sizeof *g->acks);
-  a = &g->acks[g->ack_count++];
+  cfs_grow (&g->pending_acks, &g->pending_ack_cap, g->pending_ack_count,
+            sizeof *g->pending_acks);
+  a = &g->pending_acks[g->pending_ack_count++];
   memset (a, 0, sizeof *a);
   a->request = r;
   a->verdict.term = res->term;
   a->verdict.position = res->position;
   a->verdict.body = res->body;
-  gate_settle (g, now);
+  gate_check_acks (g, now);
 }
--- a/src/request/gate_conn.c
+++ b/src/request/gate_conn.c
@@ -53,8 +53,8 @@
       {
         g->conn[c].state = CONN_OPENING;
         g->conn[c].inst = inst;
-        if (c >= g->conn_top)
-          g->conn_top = c + 1;
+        if (c >= g->conn_used)
+          g->conn_used = c + 1;
         in->open++;
         g->stats.connects++;
         g->ops->connect (g->ctx, c, inst);
@@ -68,7 +68,7 @@
 {
   unsigned n = 0;
 
-  for (unsigned c = 0; c < g->conn_top; c++)
+  for (unsigned c = 0; c < g->conn_used; c++)
     n += g->conn[c].state == state && g->conn[c].inst == inst;
   return n;
 }
@@ -76,7 +76,7 @@
 static int
 idle_conn (const struct cfs_gate *g, unsigned inst)
 {
-  for (unsigned c = 0; c < g->conn_top; c++)
+  for (unsigned c = 0; c < g->conn_used; c++)
     if (g->conn[c].state == CONN_IDLE && g->conn[c].inst == inst)
       return (int)c;
   return -1;
--- a/src/request/gate_int.h
+++ b/src/request/gate_int.h
@@ -15,8 +15,8 @@
  * enum cfs_gate_phase - state of the primary as the gate sees it
  * @PHASE_IDLE: no lease or no known term
  * @PHASE_SERVING: writes run and are acknowledged
- * @PHASE_ASKING: writes are frozen; a new term was asked for
- * @PHASE_CHOOSING: a term is granted; positions are being collected
+ * @PHASE_REQUESTING_TERM: writes are frozen; a new term was asked for
+ * @PHASE_SELECTING: a term is granted; positions are being collected
  * @PHASE_PROMOTING: an instance was ordered to lead
  * @PHASE_CONFIRMING: it leads; the control group has yet to record it
  */
@@ -24,8 +24,8 @@
 {
   PHASE_IDLE = 0,
   PHASE_SERVING,
-  PHASE_ASKING,
-  PHASE_CHOOSING,
+  PHASE_REQUESTING_TERM,
+  PHASE_SELECTING,
   PHASE_PROMOTING,
   PHASE_CONFIRMING
 };
@@ -44,8 +44,8 @@
   uint64_t term;
   uint64_t position;
   uint64_t start;
-  int64_t probed_at;
-  int64_t probe_sent_at;
+  int64_t last_probe_reply_at;
+  int64_t last_probe_sent_at;
   int64_t connect_after;
   int64_t leaving_since;
   unsigned open;
@@ -78,15 +78,15 @@
   bool abort;
 };
 
-/** struct gate_ack - a committed write that waits for replicas */
-struct gate_ack
+/** struct gate_pending_ack - a committed write that waits for replicas */
+struct gate_pending_ack
 {
   struct cfs_request *request;
-  struct cfs_verdict verdict;
+  struct cfs_gate_reply verdict;
 };
 
-/** struct gate_sample - a position that the primary had at a known time */
-struct gate_sample
+/** struct primary_sample - a position that the primary had at a known time */
+struct primary_sample
 {
   int64_t at;
   uint64_t position;
@@ -106,25 +106,25 @@
   bool ack_primary;
   bool draining;
   enum cfs_gate_phase phase;
-  int64_t phase_at;
+  int64_t phase_since;
   unsigned chosen;
   uint64_t promoted_start;
   uint64_t used_term;
   uint64_t kept;
-  bool chosen_line;
+  bool candidate_current;
   int64_t stall_since;
   uint64_t stall_position;
-  int64_t pause_base;
-  int64_t ticked_at;
+  int64_t resumed_at;
+  int64_t last_tick_at;
   struct gate_instance inst[GATE_INSTANCES_MAX];
   unsigned inst_count;
   struct gate_conn conn[CONN_COUNT];
-  unsigned conn_top;
+  unsigned conn_used;
   struct cfs_fair fair;
-  struct gate_ack *acks;
-  size_t ack_count;
-  size_t ack_cap;
-  struct gate_sample samples[ROUTE_SAMPLES];
+  struct gate_pending_ack *pending_acks;
+  size_t pending_ack_count;
+  size_t pending_ack_cap;
+  struct primary_sample samples[ROUTE_SAMPLES];
   size_t sample_next;
   size_t sample_count;
   double retry_budget;
@@ -132,8 +132,8 @@
   struct cfs_gate_stats stats;
 };
 
-/** gate_leased() - whether the lease holds at @now */
-bool gate_leased (const struct cfs_gate *gate, int64_t now);
+/** gate_lease_valid() - whether the lease holds at @now */
+bool gate_lease_valid (const struct cfs_gate *gate, int64_t now);
 
 /** gate_majority() - instances that make a majority of the group */
 unsigned gate_majority (const struct cfs_gate *gate);
@@ -141,8 +141,8 @@
 /** gate_primary() - handle of the primary of the present term, or -1 */
 int gate_primary (const struct cfs_gate *gate);
 
-/** gate_has_room() - whether an instance may be given another statement */
-bool gate_has_room (const struct cfs_gate *gate, unsigned inst);
+/** gate_has_capacity() - whether an instance may be given another statement */
+bool gate_has_capacity (const struct cfs_gate *gate, unsigned inst);
 
 /**
  * route_read() - chooses where a read runs now
@@ -152,11 +152,11 @@
 int route_read (struct cfs_gate *gate, const struct cfs_request *request,
                 int64_t now);
 
-/** route_sample() - notes a position that the primary reported */
-void route_sample (struct cfs_gate *gate, uint64_t position, int64_t at);
+/** route_add_sample() - notes a position that the primary reported */
+void route_add_sample (struct cfs_gate *gate, uint64_t position, int64_t at);
 
-/** route_branch() - a new term keeps the history up to @start only */
-void route_branch (struct cfs_gate *gate, uint64_t start);
+/** route_clip_samples() - a new term keeps the history up to @start only */
+void route_clip_samples (struct cfs_gate *gate, uint64_t start);
 
 /**
  * enum route_token - what a session's position means in the present term
@@ -178,17 +178,17 @@
 /** promote_tick() - detection, choice and promotion of a primary */
 void promote_tick (struct cfs_gate *gate, int64_t now);
 
-/** promote_phase() - enters a phase */
-void promote_phase (struct cfs_gate *gate, enum cfs_gate_phase phase,
-                    int64_t now);
+/** promote_set_phase() - enters a phase */
+void promote_set_phase (struct cfs_gate *gate, enum cfs_gate_phase phase,
+                        int64_t now);
 
-/** gate_answer() - ends a request; not_run of an unsure one says unknown */
-void gate_answer (struct cfs_gate *gate, struct cfs_request *request,
-                  enum cfs_code code, enum cfs_outcome outcome, void *body);
+/** gate_reply() - ends a request; not_run of an unsure one says unknown */
+void gate_reply (struct cfs_gate *gate, struct cfs_request *request,
+                 enum cfs_code code, enum cfs_outcome outcome, void *body);
 
-/** gate_try_again() - queues a request again if attempts and budget allow */
-bool gate_try_again (struct cfs_gate *gate, struct cfs_request *request,
-                     int64_t now);
+/** gate_retry() - queues a request again if attempts and budget allow */
+bool gate_retry (struct cfs_gate *gate, struct cfs_request *request,
+                 int64_t now);
 
 /** gate_conn_limit() - statements' connections that an instance may have */
 unsigned gate_conn_limit (const struct gate_instance *instance);
@@ -205,9 +205,10 @@
 /** gate_wait_for_majority() - holds the answer to a committed write back */
 void gate_wait_for_majority (struct cfs_gate *gate,
                              struct cfs_request *request,
-                             const struct cfs_ran_result *result, int64_t now);
+                             const struct cfs_work_result *result,
+                             int64_t now);
 
-/** gate_settle() - answers or repeats writes that waited for replicas */
-void gate_settle (struct cfs_gate *gate, int64_t now);
+/** gate_check_acks() - answers or repeats writes that waited for replicas */
+void gate_check_acks (struct cfs_gate *gate, int64_t now);
 
 #endif
--- a/src/request/gates.c
+++ b/src/request/gates.c
@@ -30,7 +30,7 @@
   struct cfs_sql sql;
 };
 
-struct gate_row
+struct local_gate
 {
   char name[CFS_NAME_MAX];
   struct cfs_gate *gate;
@@ -41,7 +41,7 @@
   bool serving;
 };
 
-struct limit_row
+struct local_limiter
 {
   char name[CFS_NAME_MAX];
   struct cfs_bucket bucket;
@@ -53,7 +53,7 @@
 struct cfs_gates
 {
   struct cfs_gates_setup setup;
-  struct gate_row **gates;
+  struct local_gate **gates;
   size_t count;
   size_t cap;
   struct cfs_table limits;
@@ -66,13 +66,13 @@
 };
 
 static const struct cfs_sql *
-job_statement (const struct cfs_request *r)
+request_statement (const struct cfs_request *r)
 {
   return &((const struct job *)r->payload)->sql;
 }
 
 static void
-free_job (struct job *j)
+free_request (struct job *j)
 {
   for (int i = 0; i < j->sql.param_count; i++)
     free (j->params[i]);
@@ -84,31 +84,31 @@
 static void
 do_connect (void *ctx, unsigned conn, unsigned inst)
 {
-  cfs_pg_connect (((struct gate_row *)ctx)->pg, conn, inst);
+  cfs_pg_connect (((struct local_gate *)ctx)->pg, conn, inst);
 }
 
 static void
 do_close (void *ctx, unsigned conn)
 {
-  cfs_pg_close (((struct gate_row *)ctx)->pg, conn);
+  cfs_pg_close (((struct local_gate *)ctx)->pg, conn);
 }
 
 static void
 do_run (void *ctx, unsigned conn, enum cfs_work work, struct cfs_request *r)
 {
-  cfs_pg_run (((struct gate_row *)ctx)->pg, conn, work, r);
+  cfs_pg_run (((struct local_gate *)ctx)->pg, conn, work, r);
 }
 
 static void
 do_probe (void *ctx, unsigned inst)
 {
-  cfs_pg_probe (((struct gate_row *)ctx)->pg, inst);
+  cfs_pg_probe (((struct local_gate *)ctx)->pg, inst);
 }
 
 static void
 do_promote (void *ctx, unsigned inst, uint64_t term)
 {
-  struct gate_row *row = ctx;
+  struct local_gate *row = ctx;
 
   cfs_log (CFS_NOTICE, PART, "%s: orders %s to lead in term %" PRIu64,
            row->name, cfs_gate_name (row->gate, inst), term);
@@ -123,9 +123,9 @@
 }
 
 static void
-do_answer (void *ctx, struct cfs_request *r, const struct cfs_verdict *v)
+do_answer (void *ctx, struct cfs_request *r, const struct cfs_gate_reply *v)
 {
-  struct gate_row *row = ctx;
+  struct local_gate *row = ctx;
   struct job *j = r->payload;
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__Answer a = CFS__ANSWER__INIT;
@@ -142,7 +142,7 @@
   out.answer = &a;
   cfs_net_reply (row->owner->setup.net, &j->origin, &out);
   free (v->body);
-  free_job (j);
+  free_request (j);
 }
 
 static const struct cfs_gate_ops gate_ops
@@ -155,7 +155,7 @@
   struct cfs_gates *g = cfs_alloc (sizeof *g);
 
   g->setup = *setup;
-  cfs_table_init (&g->limits, sizeof (struct limit_row));
+  cfs_table_init (&g->limits, sizeof (struct local_limiter));
   return g;
 }
 
@@ -180,7 +180,7 @@
   free (g);
 }
 
-static struct gate_row *
+static struct local_gate *
 find_gate (const struct cfs_gates *g, const char *name)
 {
   for (size_t i = 0; i < g->count; i++)
@@ -189,17 +189,17 @@
   return NULL;
 }
 
-static struct gate_row *
+static struct local_gate *
 make_gate (struct cfs_gates *g, const char *name)
 {
   const struct cfs_settings *s = g->setup.settings;
-  struct gate_row *row = cfs_alloc (sizeof *row);
+  struct local_gate *row = cfs_alloc (sizeof *row);
   struct cfs_pg_setup pg = { .loop = g->setup.loop,
                              .platform = &cfs_platform_sql,
                              .user = s->target_user,
                              .database = s->target_database,
                              .password = s->target_password,
-                             .statement = job_statement };
+                             .statement = request_statement };
   uint64_t seed;
 
   randombytes_buf (&seed, sizeof seed);
@@ -214,7 +214,7 @@
 }
 
 static void
-configure_gate (const struct cfs_gates *g, struct gate_row *row)
+configure_gate (const struct cfs_gates *g, struct local_gate *row)
 {
   const struct cfs_group_conf *c = NULL;
 
@@ -229,7 +229,7 @@
 {
   const char *name = lease->resource + strlen (GATE_PREFIX);
   bool own = cfs_directory_is_own (g->setup.directory, lease);
-  struct gate_row *row = find_gate (g, name);
+  struct local_gate *row = find_gate (g, name);
   uint64_t epoch = own ? lease->epoch : 0;
 
   if (!row && !own)
@@ -256,7 +256,7 @@
   const struct cfs_conf *conf = g->setup.directory->conf;
   const struct cfs_team *team = conf ? cfs_conf_team (conf, name) : NULL;
   bool own = cfs_directory_is_own (g->setup.directory, lease) && team;
-  struct limit_row *row;
+  struct local_limiter *row;
 
   if (!own && !cfs_table_find (&g->limits, name))
     return;
@@ -271,12 +271,12 @@
                        lease->epoch == 1, now);
     }
   else
-    cfs_bucket_change (&row->bucket, team->rate, team->burst, now);
+    cfs_bucket_set_rate (&row->bucket, team->rate, team->burst, now);
 }
 
 void
-cfs_gates_follow (struct cfs_gates *g, const Cfs__HeartbeatReply *reply,
-                  int64_t now)
+cfs_gates_directory_changed (struct cfs_gates *g,
+                             const Cfs__HeartbeatReply *reply, int64_t now)
 {
   const struct cfs_directory *d = g->setup.directory;
 
@@ -293,12 +293,12 @@
     cfs_gates_announce (g, reply->instances[i], now);
   for (size_t i = 0; i < g->count; i++)
     {
-      struct gate_row *row = g->gates[i];
+      struct local_gate *row = g->gates[i];
       const struct cfs_group *group = cfs_table_find (&d->groups, row->name);
 
       configure_gate (g, row);
       if (group)
-        cfs_gate_group (row->gate, group, now);
+        cfs_gate_set_group (row->gate, group, now);
       cfs_gate_renew (row->gate, d->lease_until, now);
     }
 }
@@ -326,8 +326,8 @@
 }
 
 static struct job *
-make_job (struct cfs_gates *g, const struct cfs_origin *from,
-          const Cfs__Execute *in, int64_t now)
+make_request (struct cfs_gates *g, const struct cfs_origin *from,
+              const Cfs__Execute *in, int64_t now)
 {
   struct job *j = cfs_alloc (sizeof *j);
   struct cfs_request *r = &j->request;
@@ -347,7 +347,7 @@
   r->payload = j;
   cfs_copy (r->team, sizeof r->team, in->team);
   r->weight = in->weight;
-  r->kind = (enum cfs_kind)in->kind;
+  r->kind = (enum cfs_request_kind)in->kind;
   r->deadline = now + (int64_t)in->budget_us;
   r->max_age_us = (int64_t)in->max_age_us;
   r->token_term = in->token_term;
@@ -377,7 +377,7 @@
 cfs_gates_execute (struct cfs_gates *g, const struct cfs_origin *from,
                    const Cfs__Execute *in, int64_t now)
 {
-  struct gate_row *row = find_gate (g, in->group);
+  struct local_gate *row = find_gate (g, in->group);
 
   if (in->kind >= CFS_KIND_COUNT || in->n_params > PARAMS_MAX)
     {
@@ -389,14 +389,14 @@
       refuse (g, from, in->id, CFS_CODE_MOVED);
       return;
     }
-  cfs_gate_submit (row->gate, &make_job (g, from, in, now)->request, now);
+  cfs_gate_submit (row->gate, &make_request (g, from, in, now)->request, now);
 }
 
 void
-cfs_gates_ask (struct cfs_gates *g, const struct cfs_origin *from,
-               const Cfs__TokenAsk *in, int64_t now)
+cfs_gates_grant_tokens (struct cfs_gates *g, const struct cfs_origin *from,
+                        const Cfs__TokenAsk *in, int64_t now)
 {
-  struct limit_row *row = cfs_table_find (&g->limits, in->team);
+  struct local_limiter *row = cfs_table_find (&g->limits, in->team);
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__TokenGrant grant = CFS__TOKEN_GRANT__INIT;
   int64_t retry = 0;
@@ -419,14 +419,14 @@
 void
 cfs_gates_announce (struct cfs_gates *g, const Cfs__Instance *in, int64_t now)
 {
-  struct gate_row *row = find_gate (g, in->group);
+  struct local_gate *row = find_gate (g, in->group);
 
   if (row)
-    cfs_gate_instance (row->gate, in, now);
+    cfs_gate_update_instance (row->gate, in, now);
 }
 
 static void
-log_serving (struct gate_row *row, int64_t now)
+log_serving (struct local_gate *row, int64_t now)
 {
   bool serving = cfs_gate_serving (row->gate, now);
 
@@ -484,7 +484,7 @@
 }
 
 static void
-report_gate (struct cfs_gates *g, struct gate_row *row, bool drain,
+report_gate (struct cfs_gates *g, struct local_gate *row, bool drain,
              Cfs__Heartbeat *out, int64_t now)
 {
   uint64_t epoch = cfs_gate_epoch (row->gate);
@@ -514,7 +514,7 @@
     report_gate (g, g->gates[i], drain, out, now);
   for (size_t i = 0; i < g->limits.count; i++)
     {
-      struct limit_row *row = cfs_table_at (&g->limits, i);
+      struct local_limiter *row = cfs_table_at (&g->limits, i);
 
       if (!drain || row->epoch == 0)
         continue;
@@ -563,7 +563,7 @@
     }
   for (size_t i = 0; i < g->limits.count; i++)
     {
-      const struct limit_row *row = cfs_table_at (&g->limits, i);
+      const struct local_limiter *row = cfs_table_at (&g->limits, i);
 
       g_string_append_printf (
           out, "coltsfootstage_limit_granted_total{team=\"%s\"} %" PRIu64 "\n",
--- a/src/request/gates.h
+++ b/src/request/gates.h
@@ -30,17 +30,19 @@
 /** cfs_gates_free() - gives everything up */
 void cfs_gates_free (struct cfs_gates *gates);
 
-/** cfs_gates_follow() - acts on a changed directory */
-void cfs_gates_follow (struct cfs_gates *gates,
-                       const Cfs__HeartbeatReply *reply, int64_t now);
+/** cfs_gates_directory_changed() - acts on a changed directory */
+void cfs_gates_directory_changed (struct cfs_gates *gates,
+                                  const Cfs__HeartbeatReply *reply,
+                                  int64_t now);
 
 /** cfs_gates_execute() - a statement from an entry host */
 void cfs_gates_execute (struct cfs_gates *gates, const struct cfs_origin *from,
                         const Cfs__Execute *in, int64_t now);
 
-/** cfs_gates_ask() - an entry host asks for tokens */
-void cfs_gates_ask (struct cfs_gates *gates, const struct cfs_origin *from,
-                    const Cfs__TokenAsk *in, int64_t now);
+/** cfs_gates_grant_tokens() - an entry host asks for tokens */
+void cfs_gates_grant_tokens (struct cfs_gates *gates,
+                             const struct cfs_origin *from,
+                             const Cfs__TokenAsk *in, int64_t now);
 
 /** cfs_gates_announce() - an instance announced itself */
 void cfs_gates_announce (struct cfs_gates *gates, const Cfs__Instance *in,
--- a/src/request/limit.c
+++ b/src/request/limit.c
@@ -42,8 +42,8 @@
 }
 
 void
-cfs_bucket_change (struct cfs_bucket *b, double rate, double burst,
-                   int64_t now)
+cfs_bucket_set_rate (struct cfs_bucket *b, double rate, double burst,
+                     int64_t now)
 {
   refill (b, now);
   b->rate = rate;
--- a/src/request/limit.h
+++ b/src/request/limit.h
@@ -37,9 +37,9 @@
 void cfs_bucket_init (struct cfs_bucket *bucket, double rate, double burst,
                       bool full, int64_t now);
 
-/** cfs_bucket_change() - takes over a new rate and burst */
-void cfs_bucket_change (struct cfs_bucket *bucket, double rate, double burst,
-                        int64_t now);
+/** cfs_bucket_set_rate() - takes over a new rate and burst */
+void cfs_bucket_set_rate (struct cfs_bucket *bucket, double rate, double burst,
+                          int64_t now);
 
 /**
  * cfs_bucket_take() - grants tokens, in the order of the asks
--- a/src/request/operate.c
+++ b/src/request/operate.c
@@ -82,9 +82,9 @@
 }
 
 static void
-pass_to_leader (struct cfs_entry *e, const Cfs__Instance *in, int64_t now)
+send_to_control (struct cfs_entry *e, const Cfs__Instance *in, int64_t now)
 {
-  struct announce_row *row = cfs_table_add (&e->announced, in->name);
+  struct sent_announcement *row = cfs_table_add (&e->announced, in->name);
   uint64_t digest = digest_of (in);
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__Heartbeat h = CFS__HEARTBEAT__INIT;
@@ -102,7 +102,7 @@
 }
 
 static void
-pass_to_gate (struct cfs_entry *e, const Cfs__Instance *in)
+send_to_gate (struct cfs_entry *e, const Cfs__Instance *in)
 {
   const struct cfs_lease *gate
       = cfs_directory_holder (e->setup.directory, GATE_PREFIX, in->group);
@@ -116,7 +116,7 @@
 }
 
 static void
-take_announcement (struct cfs_entry *e, struct cfs_http_request *call)
+handle_announcement (struct cfs_entry *e, struct cfs_http_request *call)
 {
   struct cfs_http_response ok = { .status = HTTP_OK, .body = "{}" };
   GError *error = NULL;
@@ -135,8 +135,8 @@
   else
     {
       fill_instance (doc, &in);
-      pass_to_gate (e, &in);
-      pass_to_leader (e, &in, cfs_now ());
+      send_to_gate (e, &in);
+      send_to_control (e, &in, cfs_now ());
       cfs_http_respond (call, &ok);
     }
   g_clear_error (&error);
@@ -164,7 +164,7 @@
   const char *who = cfs_http_request_header (call, "Operator");
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__OperatorCall m = CFS__OPERATOR_CALL__INIT;
-  struct operator_call *row;
+  struct operator_request *row;
   char own_id[24];
 
   cfs_grow (&e->calls, &e->call_cap, e->call_count, sizeof *e->calls);
@@ -219,12 +219,12 @@
 }
 
 void
-operate_request (struct cfs_entry *e, struct cfs_http_request *call,
+operator_handle (struct cfs_entry *e, struct cfs_http_request *call,
                  const char *what)
 {
   if (strcmp (what, "announce") == 0)
     {
-      take_announcement (e, call);
+      handle_announcement (e, call);
       return;
     }
   if (!key_matches (entry_bearer (call), e->setup.settings->operator_hash))
@@ -246,7 +246,7 @@
 }
 
 void
-cfs_entry_called (struct cfs_entry *e, const Cfs__OperatorReply *in)
+cfs_entry_operator_reply (struct cfs_entry *e, const Cfs__OperatorReply *in)
 {
   struct cfs_http_response a = { .status = in->status, .body = in->body };
   char etag[32];
--- a/src/request/promote.c
+++ b/src/request/promote.c
@@ -8,29 +8,29 @@
 #include "gate_int.h"
 
 void
-promote_phase (struct cfs_gate *g, enum cfs_gate_phase phase, int64_t now)
+promote_set_phase (struct cfs_gate *g, enum cfs_gate_phase phase, int64_t now)
 {
   g->phase = phase;
-  g->phase_at = now;
+  g->phase_since = now;
   g->stall_since = now;
 }
 
 /* Time since the primary last answered, less our own pauses. */
 static bool
-primary_silent (const struct cfs_gate *g, unsigned primary, int64_t now)
+primary_unresponsive (const struct cfs_gate *g, unsigned primary, int64_t now)
 {
   const struct gate_instance *in = &g->inst[primary];
-  int64_t since = in->probed_at;
+  int64_t since = in->last_probe_reply_at;
 
-  if (g->pause_base > since)
-    since = g->pause_base;
-  if (g->phase_at > since)
-    since = g->phase_at;
-  return now - since > g->tuning.suspect_us;
+  if (g->resumed_at > since)
+    since = g->resumed_at;
+  if (g->phase_since > since)
+    since = g->phase_since;
+  return now - since > g->tuning.primary_timeout_us;
 }
 
 static uint64_t
-best_replica (const struct cfs_gate *g, int primary)
+best_replica_position (const struct cfs_gate *g, int primary)
 {
   uint64_t best = 0;
 
@@ -46,10 +46,10 @@
 static bool
 replication_stalled (struct cfs_gate *g, int primary, int64_t now)
 {
-  uint64_t best = best_replica (g, primary);
+  uint64_t best = best_replica_position (g, primary);
   unsigned reached = 0;
 
-  if (g->ack_count == 0 || best != g->stall_position)
+  if (g->pending_ack_count == 0 || best != g->stall_position)
     {
       g->stall_position = best;
       g->stall_since = now;
@@ -57,8 +57,9 @@
     }
   for (unsigned i = 0; i < g->inst_count; i++)
     reached += (int)i != primary
-               && now - g->inst[i].probed_at < g->tuning.reachable_us;
-  return now - g->stall_since > g->tuning.stall_us
+               && now - g->inst[i].last_probe_reply_at
+                      < g->tuning.reachable_timeout_us;
+  return now - g->stall_since > g->tuning.replication_stall_us
          && reached > g->size - gate_majority (g);
 }
 
@@ -69,16 +70,17 @@
   const struct gate_instance *in;
 
   if (primary < 0)
-    return now - g->phase_at > g->tuning.suspect_us;
+    return now - g->phase_since > g->tuning.primary_timeout_us;
   in = &g->inst[primary];
-  if (in->leaving && now - in->leaving_since > g->tuning.leave_us)
+  if (in->leaving
+      && now - in->leaving_since > g->tuning.primary_leave_timeout_us)
     return true;
-  if (in->leaving && in->running + in->pinned + g->ack_count == 0)
+  if (in->leaving && in->running + in->pinned + g->pending_ack_count == 0)
     return true;
-  if (in->probe_sent_at > g->phase_at
+  if (in->last_probe_sent_at > g->phase_since
       && (in->term != g->group.term || !in->primary))
     return true;
-  return primary_silent (g, (unsigned)primary, now)
+  return primary_unresponsive (g, (unsigned)primary, now)
          || replication_stalled (g, primary, now);
 }
 
@@ -86,7 +88,7 @@
    of an older term may have gone its own way behind the next branch; one of
    a term that was never recorded did so behind its start. */
 static uint64_t
-kept_position (const struct cfs_gate *g, const struct gate_instance *in)
+shared_position (const struct cfs_gate *g, const struct gate_instance *in)
 {
   uint64_t limit = in->position;
 
@@ -104,8 +106,8 @@
 further (const struct cfs_gate *g, const struct gate_instance *a,
          const struct gate_instance *b)
 {
-  uint64_t x = kept_position (g, a);
-  uint64_t y = kept_position (g, b);
+  uint64_t x = shared_position (g, a);
+  uint64_t y = shared_position (g, b);
 
   if (x != y)
     return x > y;
@@ -125,26 +127,27 @@
   int best = -1;
   int best_any = -1;
   unsigned heard = 0;
-  unsigned heard_others = 0;
+  unsigned answered_others = 0;
 
   for (unsigned i = 0; i < g->inst_count; i++)
     {
       const struct gate_instance *in = &g->inst[i];
 
-      if (in->probe_sent_at < g->phase_at || in->probed_at < g->phase_at)
+      if (in->last_probe_sent_at < g->phase_since
+          || in->last_probe_reply_at < g->phase_since)
         continue;
       heard++;
       if (best_any < 0 || further (g, in, &g->inst[best_any]))
         best_any = (int)i;
       if ((int)i == primary)
         continue;
-      heard_others++;
+      answered_others++;
       if (best < 0 || further (g, in, &g->inst[best]))
         best = (int)i;
     }
-  if (heard_others > g->size - gate_majority (g) && best >= 0)
+  if (answered_others > g->size - gate_majority (g) && best >= 0)
     return best;
-  if (now - g->phase_at < g->tuning.choose_us)
+  if (now - g->phase_since < g->tuning.former_primary_wait_us)
     return -1;
   return heard >= gate_majority (g) ? best_any : -1;
 }
@@ -157,28 +160,28 @@
   if (best < 0)
     return;
   g->chosen = (unsigned)best;
-  g->kept = kept_position (g, &g->inst[best]);
-  g->chosen_line = g->inst[best].term == g->group.term;
+  g->kept = shared_position (g, &g->inst[best]);
+  g->candidate_current = g->inst[best].term == g->group.term;
   g->used_term = g->group.granted_term;
-  promote_phase (g, PHASE_PROMOTING, now);
+  promote_set_phase (g, PHASE_PROMOTING, now);
   g->ops->promote (g->ctx, g->chosen, g->group.granted_term);
 }
 
 static void
-watch_promotion (struct cfs_gate *g, int64_t now)
+check_promotion (struct cfs_gate *g, int64_t now)
 {
   const struct gate_instance *in = &g->inst[g->chosen];
 
   if (in->primary && in->term == g->group.granted_term
-      && in->probe_sent_at >= g->phase_at)
+      && in->last_probe_sent_at >= g->phase_since)
     {
-      g->promoted_start = g->chosen_line ? in->start : g->kept;
+      g->promoted_start = g->candidate_current ? in->start : g->kept;
       g->stats.promotions++;
-      promote_phase (g, PHASE_CONFIRMING, now);
+      promote_set_phase (g, PHASE_CONFIRMING, now);
       return;
     }
-  if (now - g->phase_at > g->tuning.suspect_us)
-    promote_phase (g, PHASE_ASKING, now);
+  if (now - g->phase_since > g->tuning.primary_timeout_us)
+    promote_set_phase (g, PHASE_REQUESTING_TERM, now);
 }
 
 void
@@ -188,29 +191,30 @@
                  && g->group.granted_term > g->group.term
                  && g->group.granted_term > g->used_term;
 
-  if (!gate_leased (g, now) || g->group.term == 0)
+  if (!gate_lease_valid (g, now) || g->group.term == 0)
     return;
   switch (g->phase)
     {
     case PHASE_IDLE:
-      promote_phase (g,
-                     g->group.granted_term > g->group.term ? PHASE_ASKING
-                                                           : PHASE_SERVING,
-                     now);
+      promote_set_phase (g,
+                         g->group.granted_term > g->group.term
+                             ? PHASE_REQUESTING_TERM
+                             : PHASE_SERVING,
+                         now);
       break;
     case PHASE_SERVING:
       if (primary_failed (g, now))
-        promote_phase (g, PHASE_ASKING, now);
+        promote_set_phase (g, PHASE_REQUESTING_TERM, now);
       break;
-    case PHASE_ASKING:
+    case PHASE_REQUESTING_TERM:
       if (granted)
-        promote_phase (g, PHASE_CHOOSING, now);
+        promote_set_phase (g, PHASE_SELECTING, now);
       break;
-    case PHASE_CHOOSING:
+    case PHASE_SELECTING:
       start_promotion (g, now);
       break;
     case PHASE_PROMOTING:
-      watch_promotion (g, now);
+      check_promotion (g, now);
       break;
     case PHASE_CONFIRMING:
       break;
--- a/src/request/quota.h
+++ b/src/request/quota.h
@@ -13,7 +13,7 @@
 #include "../process/wire.pb-c.h"
 
 /* Grants of tokens that are kept beside each other. */
-#define QUOTA_GRANTS 8
+#define QUOTA_GRANTS_MAX 8
 
 /** struct cfs_quota_grant - single tokens and when they become void */
 struct cfs_quota_grant
@@ -23,11 +23,11 @@
 };
 
 /**
- * struct cfs_quota_row - one team's share and tokens at this host
+ * struct cfs_quota_team - one team's share and tokens at this host
  * @share: operations a second
  * @known: what the leader that gave the share denies is in use
  */
-struct cfs_quota_row
+struct cfs_quota_team
 {
   char team[CFS_NAME_MAX];
   double share;
@@ -38,11 +38,11 @@
   double asked;
   double demand;
   int64_t counted_at;
-  struct cfs_quota_grant grants[QUOTA_GRANTS];
+  struct cfs_quota_grant grants[QUOTA_GRANTS_MAX];
   size_t next_grant;
   uint32_t waiting;
   uint32_t due;
-  int64_t due_until;
+  int64_t outstanding_until;
   int64_t denied_at;
   int64_t ask_after;
   uint64_t granted;
@@ -79,8 +79,9 @@
 /** cfs_quota_renew() - the shares held stay valid until later */
 void cfs_quota_renew (struct cfs_quota *quota, int64_t until);
 
-/** cfs_quota_ask() - counts an operation of a team as demand */
-void cfs_quota_ask (struct cfs_quota *quota, const char *team, int64_t now);
+/** cfs_quota_count_demand() - counts an operation of a team as demand */
+void cfs_quota_count_demand (struct cfs_quota *quota, const char *team,
+                             int64_t now);
 
 /**
  * cfs_quota_take() - takes the right to one operation
@@ -102,25 +103,27 @@
 bool cfs_quota_denied (struct cfs_quota *quota, const char *team,
                        int64_t since, int64_t now);
 
-/** cfs_quota_wait() - an operation starts or ends to wait for a token */
-void cfs_quota_wait (struct cfs_quota *quota, const char *team, bool starts);
+/** cfs_quota_count_waiting() - an operation starts or ends to wait for a token
+ */
+void cfs_quota_count_waiting (struct cfs_quota *quota, const char *team,
+                              bool starts);
 
 /**
- * cfs_quota_wanted() - tokens to ask for now
+ * cfs_quota_tokens_to_request() - tokens to ask for now
  *
  * What is returned counts as asked for, until it is granted or the answer
  * does not come.
  */
-uint32_t cfs_quota_wanted (struct cfs_quota_row *row, int64_t now);
+uint32_t cfs_quota_tokens_to_request (struct cfs_quota_team *row, int64_t now);
 
 /**
- * struct cfs_quota_answer - the control leader's answer to one question
+ * struct cfs_quota_token_reply - the control leader's answer to one question
  * @asked: tokens that were asked for
  * @count: tokens that are granted
  * @known: what the leader denies is in use
  * @sent_at: when the question was sent; tokens live from there
  */
-struct cfs_quota_answer
+struct cfs_quota_token_reply
 {
   uint32_t asked;
   uint32_t count;
@@ -128,15 +131,15 @@
   int64_t sent_at;
 };
 
-/** cfs_quota_granted() - takes tokens that were granted */
-void cfs_quota_granted (struct cfs_quota *quota, const char *team,
-                        const struct cfs_quota_answer *answer);
+/** cfs_quota_add_tokens() - takes tokens that were granted */
+void cfs_quota_add_tokens (struct cfs_quota *quota, const char *team,
+                           const struct cfs_quota_token_reply *answer);
 
 /**
  * cfs_quota_demand() - operations a second that a team asks for here
  *
  * An average over about a second that rises at once and falls slowly.
  */
-double cfs_quota_demand (const struct cfs_quota_row *row, int64_t now);
+double cfs_quota_demand (const struct cfs_quota_team *row, int64_t now);
 
 #endif
--- a/src/request/request.h
+++ b/src/request/request.h
@@ -13,7 +13,7 @@
 #define CFS_TRANSACTION_MAX 40
 
 /**
- * enum cfs_kind - what a request asks for
+ * enum cfs_request_kind - what a request asks for
  * @CFS_READ: one statement in a read-only transaction
  * @CFS_WRITE: one statement in a transaction of its own
  * @CFS_BEGIN: opens a transaction
@@ -21,7 +21,7 @@
  * @CFS_COMMIT: commits a transaction
  * @CFS_ROLLBACK: rolls a transaction back
  */
-enum cfs_kind
+enum cfs_request_kind
 {
   CFS_READ = 0,
   CFS_WRITE,
@@ -59,7 +59,7 @@
   void *payload;
   char team[CFS_NAME_MAX];
   uint32_t weight;
-  enum cfs_kind kind;
+  enum cfs_request_kind kind;
   int64_t arrived_at;
   int64_t started_at;
   int64_t deadline;
--- a/src/request/route.c
+++ b/src/request/route.c
@@ -8,9 +8,9 @@
 #include "gate_int.h"
 
 void
-route_sample (struct cfs_gate *g, uint64_t position, int64_t at)
+route_add_sample (struct cfs_gate *g, uint64_t position, int64_t at)
 {
-  struct gate_sample *s = &g->samples[g->sample_next];
+  struct primary_sample *s = &g->samples[g->sample_next];
 
   s->at = at;
   s->position = position;
@@ -20,7 +20,7 @@
 }
 
 void
-route_branch (struct cfs_gate *g, uint64_t start)
+route_clip_samples (struct cfs_gate *g, uint64_t start)
 {
   for (size_t i = 0; i < ROUTE_SAMPLES; i++)
     if (g->samples[i].position > start)
@@ -30,8 +30,8 @@
 /* Whether data up to @position is at most @max_age_us old.  The oldest
    sample inside the age asks for the least position. */
 static bool
-young_enough (const struct cfs_gate *g, uint64_t position, int64_t max_age_us,
-              int64_t now)
+within_max_age (const struct cfs_gate *g, uint64_t position,
+                int64_t max_age_us, int64_t now)
 {
   for (size_t i = 0; i < g->sample_count; i++)
     {
@@ -72,7 +72,7 @@
 usable (const struct cfs_gate *g, const struct gate_instance *in, int64_t now)
 {
   return !in->leaving && on_line (g, in)
-         && now - in->probed_at < g->tuning.reachable_us;
+         && now - in->last_probe_reply_at < g->tuning.reachable_timeout_us;
 }
 
 static bool
@@ -80,7 +80,7 @@
        const struct cfs_request *r, int64_t now)
 {
   return in->position >= r->token_position
-         && young_enough (g, in->position, r->max_age_us, now);
+         && within_max_age (g, in->position, r->max_age_us, now);
 }
 
 /* The fresh replica with the least load, counted from a moving start. */
@@ -101,7 +101,7 @@
       if (in->primary || !usable (g, in, now) || !fresh (g, in, r, now))
         continue;
       *exists = true;
-      if (!gate_has_room (g, i) || (best >= 0 && load >= best_load))
+      if (!gate_has_capacity (g, i) || (best >= 0 && load >= best_load))
         continue;
       best = (int)i;
       best_load = load;
@@ -125,7 +125,7 @@
   if (best >= 0)
     return best;
   if (primary < 0 || g->phase != PHASE_SERVING || g->inst[primary].leaving
-      || !gate_has_room (g, (unsigned)primary))
+      || !gate_has_capacity (g, (unsigned)primary))
     return -1;
   if (r->max_age_us > 0 && now - r->arrived_at < wait
       && now < r->deadline - wait)
--- a/src/request/statement.c
+++ b/src/request/statement.c
@@ -29,11 +29,11 @@
           NULL },
         END_ROW };
 
-static struct entry_job *
+static struct entry_request *
 new_job (struct cfs_entry *e, struct cfs_http_request *call,
-         enum cfs_kind kind, const char *group)
+         enum cfs_request_kind kind, const char *group)
 {
-  struct entry_job *j = cfs_alloc (sizeof *j);
+  struct entry_request *j = cfs_alloc (sizeof *j);
 
   j->entry = e;
   j->call = call;
@@ -45,15 +45,15 @@
 
 /* Answers a job that never entered the list of open ones. */
 static void
-reject (struct entry_job *j, enum cfs_code code, const char *detail)
+reject (struct entry_request *j, enum cfs_code code, const char *detail)
 {
   entry_problem (j->entry, j->call, code, CFS_NOT_RUN, detail);
   j->call = NULL;
-  entry_free_job (j);
+  entry_free_request (j);
 }
 
 static bool
-add_param (struct entry_job *j, const cJSON *item)
+add_param (struct entry_request *j, const cJSON *item)
 {
   Cfs__Param *p = &j->params[j->param_count];
   char *text = NULL;
@@ -74,7 +74,7 @@
 }
 
 static bool
-read_params (struct entry_job *j, const cJSON *doc)
+read_params (struct entry_request *j, const cJSON *doc)
 {
   const cJSON *list = cJSON_GetObjectItemCaseSensitive (doc, "params");
   const cJSON *item;
@@ -90,7 +90,7 @@
 }
 
 static bool
-read_mode (struct entry_job *j, const cJSON *doc)
+read_mode (struct entry_request *j, const cJSON *doc)
 {
   const char *mode = cfs_json_string (doc, "mode", "write");
 
@@ -106,7 +106,7 @@
 /* Reads the body into the job.  Returns the deadline, or 0 after it has
    rejected the job. */
 static int64_t
-read_body (struct entry_job *j, const struct cfs_field *fields)
+read_body (struct entry_request *j, const struct cfs_field *fields)
 {
   const char *text = cfs_http_request_body (j->call);
   GError *error = NULL;
@@ -155,7 +155,7 @@
 
 /* Reads the headers that say how often a write may run. */
 static bool
-read_repeat (struct entry_job *j)
+read_repeat (struct entry_request *j)
 {
   const char *key = cfs_http_request_header (j->call, "Idempotency-Key");
   const char *repeatable = cfs_http_request_header (j->call, "Repeatable");
@@ -171,7 +171,7 @@
 }
 
 static bool
-read_token (struct entry_job *j)
+read_token (struct entry_request *j)
 {
   const char *text = cfs_http_request_header (j->call, "Session");
   const struct cfs_token_entry *seen;
@@ -193,7 +193,7 @@
 
 /* Takes the job on for a team once session and repeat headers are sound. */
 static void
-accept_job (struct entry_job *j, const struct cfs_team *team,
+accept_job (struct entry_request *j, const struct cfs_team *team,
             const char *session_team, int64_t deadline_ms)
 {
   if (!read_token (j))
@@ -232,7 +232,7 @@
   const struct cfs_sheet *sheet = cfs_conf_sheet (conf, name);
   const struct cfs_team *team = authenticate (e, call);
   const struct cfs_team *owner;
-  struct entry_job *j;
+  struct entry_request *j;
 
   if (entry_bearer (call) && !team)
     {
@@ -263,7 +263,7 @@
 }
 
 /* Kind of a request under /v1/groups/G/..., CFS_KIND_COUNT for none. */
-static enum cfs_kind
+static enum cfs_request_kind
 kind_of (char **parts, size_t count)
 {
   if (count == 2 && strcmp (parts[1], "statements") == 0)
@@ -283,10 +283,10 @@
 group_request (struct cfs_entry *e, struct cfs_http_request *call,
                char **parts, size_t count)
 {
-  enum cfs_kind kind = kind_of (parts, count);
+  enum cfs_request_kind kind = kind_of (parts, count);
   const struct cfs_team *team = authenticate (e, call);
   bool carries = kind == CFS_WRITE || kind == CFS_STATEMENT;
-  struct entry_job *j;
+  struct entry_request *j;
   int64_t deadline;
 
   if (!team)
@@ -311,8 +311,8 @@
 }
 
 void
-statement_request (struct cfs_entry *e, struct cfs_http_request *call,
-                   char **parts, size_t count)
+statement_handle (struct cfs_entry *e, struct cfs_http_request *call,
+                  char **parts, size_t count)
 {
   bool sheet = strcmp (parts[0], "sheets") == 0 && count == 2;
   const char *allowed = sheet ? "GET" : "POST";
--- a/tests/unit/scenarios.c
+++ b/tests/unit/scenarios.c
@@ -68,7 +68,7 @@
 }
 
 static void
-submit (struct script *s, enum cfs_kind kind)
+submit (struct script *s, enum cfs_request_kind kind)
 {
   const char *tx = option (s, "in", NULL);
   const struct wg_request *begin = tx ? request_named (s->gate, tx) : NULL;
--- a/tests/unit/shares_random.c
+++ b/tests/unit/shares_random.c
@@ -127,7 +127,7 @@
 beat (struct world *w, struct host *h)
 {
   const struct cfs_team_limits *t = &w->catalog->teams[0];
-  struct cfs_quota_row *r = cfs_table_add (&h->quota.rows, TEAM);
+  struct cfs_quota_team *r = cfs_table_add (&h->quota.rows, TEAM);
   double held = w->now < h->quota.until ? r->share : 0;
 
   h->beat_at = w->now + HEARTBEAT_STEP_US;
@@ -149,8 +149,8 @@
 ask (struct world *w, struct host *h)
 {
   const struct cfs_team_limits *t = &w->catalog->teams[0];
-  struct cfs_quota_row *r = cfs_table_add (&h->quota.rows, TEAM);
-  uint32_t want = cfs_quota_wanted (r, w->now);
+  struct cfs_quota_team *r = cfs_table_add (&h->quota.rows, TEAM);
+  uint32_t want = cfs_quota_tokens_to_request (r, w->now);
   struct answer *a;
 
   if (!want || h->cut)
@@ -169,12 +169,12 @@
 static void
 take_tokens (struct host *h, const struct answer *a)
 {
-  struct cfs_quota_answer answer = { .asked = a->asked,
-                                     .count = a->tokens,
-                                     .known = a->known,
-                                     .sent_at = a->sent_at };
+  struct cfs_quota_token_reply answer = { .asked = a->asked,
+                                          .count = a->tokens,
+                                          .known = a->known,
+                                          .sent_at = a->sent_at };
 
-  cfs_quota_granted (&h->quota, TEAM, &answer);
+  cfs_quota_add_tokens (&h->quota, TEAM, &answer);
 }
 
 static void
@@ -216,13 +216,13 @@
       {
         if (w->count < PASSED_MAX)
           w->passed[w->count++] = w->now;
-        cfs_quota_wait (&h->quota, TEAM, false);
+        cfs_quota_count_waiting (&h->quota, TEAM, false);
       }
     else if (w->now - h->waiting[i] > w->hold_us
              || cfs_quota_denied (&h->quota, TEAM, h->waiting[i], w->now))
       {
         h->refused++;
-        cfs_quota_wait (&h->quota, TEAM, false);
+        cfs_quota_count_waiting (&h->quota, TEAM, false);
       }
     else
       h->waiting[kept++] = h->waiting[i];
@@ -240,8 +240,8 @@
   if ((double)draw (w, 1000) < h->load * STEP_US / 1000
       && h->waiting_count < WAITING_MAX)
     {
-      cfs_quota_ask (&h->quota, TEAM, w->now);
-      cfs_quota_wait (&h->quota, TEAM, true);
+      cfs_quota_count_demand (&h->quota, TEAM, w->now);
+      cfs_quota_count_waiting (&h->quota, TEAM, true);
       h->waiting[h->waiting_count++] = w->now;
     }
   serve_waiting (w, h);
@@ -405,7 +405,7 @@
     step_world (&w, false);
   for (int i = 0; i < HOSTS; i++)
     {
-      struct cfs_quota_row *r = cfs_table_add (&w.hosts[i].quota.rows, TEAM);
+      struct cfs_quota_team *r = cfs_table_add (&w.hosts[i].quota.rows, TEAM);
 
       granted += r->granted;
       refused += w.hosts[i].refused;
--- a/tests/world/gate.c
+++ b/tests/world/gate.c
@@ -118,7 +118,7 @@
   ((struct wg_request *)r->payload)->sent++;
   if (inst == WG_INSTANCES)
     {
-      struct cfs_ran_result lost = { .ran = RAN_NOT_RUN };
+      struct cfs_work_result lost = { .ran = WORK_STATUS_NOT_RUN };
 
       e = conn_event (h, EV_RESULT, conn, 0, h->world->rtt_us);
       e->result = lost;
@@ -158,7 +158,7 @@
 }
 
 static void
-do_answer (void *ctx, struct cfs_request *r, const struct cfs_verdict *v)
+do_answer (void *ctx, struct cfs_request *r, const struct cfs_gate_reply *v)
 {
   struct wg_host *h = ctx;
   struct world_gate *w = h->world;
@@ -243,7 +243,7 @@
       in.slots = h->world->inst[i].slots;
       in.connections = 35;
       in.leaving = h->world->inst[i].leaving;
-      cfs_gate_instance (h->gate, &in, host_now (h));
+      cfs_gate_update_instance (h->gate, &in, host_now (h));
     }
 }
 
@@ -351,7 +351,7 @@
 }
 
 /* Runs work at an instance; returns how it ended. */
-static enum cfs_ran
+static enum cfs_work_status
 execute (struct world_gate *w, struct wg_instance *in, struct wg_session *s,
          const struct wg_event *e)
 {
@@ -366,13 +366,13 @@
       && strcmp (s->transaction, q->request.transaction) != 0)
     fault (w, "a statement entered another transaction", q->name);
   if (writes && !in->leads)
-    return RAN_ERROR;
+    return WORK_STATUS_ERROR;
   if (e->work == WORK_WRITE)
     commit_op (w, in, e->request);
   else if (e->work == WORK_KEYED_WRITE)
     {
       if (find_key (in, q->request.key) >= 0)
-        return RAN_REPLAYED;
+        return WORK_STATUS_REPLAYED;
       commit_op (w, in, e->request);
     }
   else if (e->work == WORK_BEGIN)
@@ -386,7 +386,7 @@
       s->pending_count = 0;
       s->transaction[0] = '\0';
     }
-  return RAN_OK;
+  return WORK_STATUS_OK;
 }
 
 /* What a read has seen must hold what its session was told before. */
@@ -431,7 +431,7 @@
   struct wg_session *s = &in->sessions[e->host][e->conn];
   struct wg_host *h = &w->hosts[e->host];
   struct wg_event *r;
-  struct cfs_ran_result res = { .clean = true };
+  struct cfs_work_result res = { .clean = true };
   unsigned slot = 0;
   int64_t start;
 
@@ -440,7 +440,7 @@
       /* The instance was started anew: it resets the old connection. */
       r = conn_event (h, EV_RESULT, e->conn, e->inst, w->rtt_us / 2);
       r->generation = e->generation;
-      r->result.ran = RAN_NOT_RUN;
+      r->result.ran = WORK_STATUS_NOT_RUN;
       r->result.clean = false;
       return;
     }
@@ -470,7 +470,7 @@
 
   if (h->generation[e->conn] != e->generation)
     return;
-  cfs_gate_ran (h->gate, e->conn, &e->result, host_now (h));
+  cfs_gate_work_done (h->gate, e->conn, &e->result, host_now (h));
 }
 
 static void
@@ -564,7 +564,7 @@
   int64_t now = host_now (h);
 
   cfs_gate_assign (h->gate, own ? w->epoch : 0, now);
-  cfs_gate_group (h->gate, &w->group, now);
+  cfs_gate_set_group (h->gate, &w->group, now);
   announce (h);
   cfs_gate_renew (h->gate, (int64_t)e->term + LEASE_US, now);
 }
@@ -781,7 +781,7 @@
 }
 
 int
-wg_submit (struct world_gate *w, const char *name, enum cfs_kind kind,
+wg_submit (struct world_gate *w, const char *name, enum cfs_request_kind kind,
            const char *key, const char *session, bool once,
            const char *transaction, int64_t deadline_us, int64_t max_age_us)
 {
@@ -834,11 +834,13 @@
         memset (&in->sessions[h][c], 0, sizeof in->sessions[h][c]);
         if (open && w->hosts[h].alive && !w->hosts[h].frozen && !in->cut[h])
           {
-            struct cfs_ran_result lost = { .ran = RAN_UNKNOWN };
+            struct cfs_work_result lost = { .ran = WORK_STATUS_UNKNOWN };
 
             w->hosts[h].generation[c]++;
-            cfs_gate_ran (w->hosts[h].gate, c, &lost, host_now (&w->hosts[h]));
-            cfs_gate_lost (w->hosts[h].gate, c, host_now (&w->hosts[h]));
+            cfs_gate_work_done (w->hosts[h].gate, c, &lost,
+                                host_now (&w->hosts[h]));
+            cfs_gate_disconnected (w->hosts[h].gate, c,
+                                   host_now (&w->hosts[h]));
           }
       }
 }
--- a/tests/world/gate.h
+++ b/tests/world/gate.h
@@ -92,7 +92,7 @@
   unsigned host, conn, inst;
   uint64_t generation, term, stamp;
   enum cfs_work work;
-  struct cfs_ran_result result;
+  struct cfs_work_result result;
 };
 
 /** struct world_gate - everything */
@@ -128,10 +128,10 @@
 void wg_run (struct world_gate *w, int64_t us);
 
 /** wg_submit() - sends a request to the host that holds the gate */
-int wg_submit (struct world_gate *w, const char *name, enum cfs_kind kind,
-               const char *key, const char *session, bool once,
-               const char *transaction, int64_t deadline_us,
-               int64_t max_age_us);
+int wg_submit (struct world_gate *w, const char *name,
+               enum cfs_request_kind kind, const char *key,
+               const char *session, bool once, const char *transaction,
+               int64_t deadline_us, int64_t max_age_us);
 
 /** wg_resend() - the caller sends an answered request again */
 int wg_resend (struct world_gate *w, int request);
--- a/tests/world/limit.c
+++ b/tests/world/limit.c
@@ -200,7 +200,7 @@
   cfs_bucket_init (&w->bucket, w->rate, w->burst, false, w->now);
   for (unsigned i = 0; i < WL_HOSTS; i++)
     if (w->alive[i])
-      cfs_admit_moved (&w->admit[i], "weavers", w->now);
+      cfs_admit_limiter_moved (&w->admit[i], "weavers", w->now);
 }
 
 void
