--- a/bench/bench_fair.c
+++ b/bench/bench_fair.c
@@ -282,7 +282,7 @@
   bench_at_least (b, "goodput at 3 times the capacity, of capacity",
                   100 * o.done / (MINUTE_S * capacity), "%", 90);
   bench_at_most (b, "sent for each asked",
-                 (double)stats->sent / (double)stats->asked, "", 1.1);
+                 (double)stats->sent / (double)stats->submitted, "", 1.1);
   bench_at_most (b, "late or failed 2 s after the overload", o.late,
                  "requests", 0);
   bench_report (b, "refused early, of all",
--- a/src/connection/pg.c
+++ b/src/connection/pg.c
@@ -411,7 +411,7 @@
 take_position_after (struct pg_conn *c, const PGresult *res)
 {
   c->result.term = pg_result_number (res, 0);
-  c->result.seen = pg_result_number (res, 1);
+  c->result.position_max = pg_result_number (res, 1);
 }
 
 static void
@@ -482,7 +482,7 @@
 {
   struct cfs_work_result out = c->result;
 
-  out.ran = ran;
+  out.status = ran;
   out.clean = clean;
   if (ran == WORK_STATUS_ERROR && c->error)
     {
@@ -632,10 +632,10 @@
 conn_failed (struct pg_conn *c)
 {
   enum conn_state state = c->state;
-  struct cfs_work_result lost = { .ran = WORK_STATUS_NOT_RUN };
+  struct cfs_work_result lost = { .status = WORK_STATUS_NOT_RUN };
 
   if (c->commit_sent && c->work != WORK_READ)
-    lost.ran = WORK_STATUS_UNKNOWN;
+    lost.status = WORK_STATUS_UNKNOWN;
   reset_conn (c);
   if (c->probe)
     return;
--- a/src/process/front.c
+++ b/src/process/front.c
@@ -164,9 +164,9 @@
   for (size_t i = 0; i < g->n_teams; i++)
     {
       const Cfs__TeamTokens *t = g->teams[i];
-      struct cfs_quota_token_reply answer = { .asked = t->asked,
+      struct cfs_quota_token_reply answer = { .requested = t->asked,
                                               .count = t->count,
-                                              .known = t->known,
+                                              .authoritative = t->known,
                                               .sent_at = g->sent_at_us };
 
       cfs_quota_add_tokens (&f->quota, t->team, &answer);
@@ -192,11 +192,11 @@
 static bool
 lacks_share (const struct cfs_front *f)
 {
-  for (size_t i = 0; i < f->quota.rows.count; i++)
+  for (size_t i = 0; i < f->quota.teams.count; i++)
     {
-      const struct cfs_quota_team *r = cfs_table_at (&f->quota.rows, i);
+      const struct cfs_quota_team *r = cfs_table_at (&f->quota.teams, i);
 
-      if (!r->known && r->asked > 0)
+      if (!r->authoritative && r->span_ops > 0)
         return true;
     }
   return false;
@@ -219,7 +219,7 @@
   for (size_t i = 0; i < c->team_count; i++)
     {
       struct cfs_quota_team *q
-          = cfs_table_add (&f->quota.rows, c->teams[i].name);
+          = cfs_table_add (&f->quota.teams, c->teams[i].name);
 
       cfs__team_use__init (&rows[i]);
       rows[i].team = c->teams[i].name;
@@ -280,10 +280,10 @@
   Cfs__TeamTokens rows[ASK_TEAMS_MAX];
   Cfs__TeamTokens *list[ASK_TEAMS_MAX];
 
-  for (size_t i = 0; i < f->quota.rows.count && ask.n_teams < ASK_TEAMS_MAX;
+  for (size_t i = 0; i < f->quota.teams.count && ask.n_teams < ASK_TEAMS_MAX;
        i++)
     {
-      struct cfs_quota_team *r = cfs_table_at (&f->quota.rows, i);
+      struct cfs_quota_team *r = cfs_table_at (&f->quota.teams, i);
       uint32_t count = r->waiting ? cfs_quota_tokens_to_request (r, now) : 0;
       Cfs__TeamTokens *row = &rows[ask.n_teams];
 
--- a/src/request/admit.c
+++ b/src/request/admit.c
@@ -36,17 +36,18 @@
 }
 
 static void
-ask (struct cfs_admit *a, struct cfs_admit_team *t, int64_t now)
+request_tokens (struct cfs_admit *a, struct cfs_admit_team *t, int64_t now)
 {
   size_t want = t->waiting.count < TOKEN_REQUEST_MAX ? t->waiting.count
                                                      : TOKEN_REQUEST_MAX;
 
-  if (want == 0 || t->outstanding_id || t->tokens || now < t->ask_after)
+  if (want == 0 || t->outstanding_id || t->tokens || now < t->next_request_at)
     return;
   t->outstanding_id = ++a->next_id;
   t->outstanding_count = (uint32_t)want;
-  t->asked_at = now;
-  a->ops->ask (a->ctx, t->name, t->outstanding_id, t->outstanding_count);
+  t->requested_at = now;
+  a->ops->request_tokens (a->ctx, t->name, t->outstanding_id,
+                          t->outstanding_count);
 }
 
 void
@@ -63,7 +64,7 @@
       return;
     }
   cfs_queue_push (&t->waiting, r);
-  ask (a, t, now);
+  request_tokens (a, t, now);
 }
 
 /* Time at which the next token may be spent: they follow each other at the
@@ -71,9 +72,9 @@
 static int64_t
 token_time (const struct cfs_admit_team *t)
 {
-  double behind = (double)(t->tokens - 1) / t->rate * CFS_US_PER_S;
+  double offset_us = (double)(t->tokens - 1) / t->rate * CFS_US_PER_S;
 
-  return t->last_token_at - (int64_t)behind;
+  return t->last_token_at - (int64_t)offset_us;
 }
 
 /* Spends the tokens whose time has come and drops those that are too old. */
@@ -101,14 +102,14 @@
   if (!t || t->outstanding_id != id)
     return;
   t->outstanding_id = 0;
-  t->reply_delay_us = now - t->asked_at;
+  t->reply_delay_us = now - t->requested_at;
   if (count > t->outstanding_count)
     count = t->outstanding_count;
   t->tokens = t->reply_delay_us < GRANT_LIFE_US ? count : 0;
   t->last_token_at = now + wait_us;
-  t->ask_after = count ? now : now + wait_us;
+  t->next_request_at = count ? now : now + wait_us;
   spend (a, t, now);
-  ask (a, t, now);
+  request_tokens (a, t, now);
 }
 
 void
@@ -120,22 +121,22 @@
     return;
   t->outstanding_id = 0;
   t->tokens = 0;
-  t->ask_after = now;
-  ask (a, t, now);
+  t->next_request_at = now;
+  request_tokens (a, t, now);
 }
 
 /* The queue is in order of arrival, not of deadline, so all are looked at. */
 static void
 expire (struct cfs_admit *a, struct cfs_admit_team *t, int64_t now)
 {
-  struct cfs_queue kept = { NULL, NULL, 0 };
-  struct cfs_queue late = { NULL, NULL, 0 };
+  struct cfs_queue remaining = { NULL, NULL, 0 };
+  struct cfs_queue expired = { NULL, NULL, 0 };
   struct cfs_request *r;
 
   while ((r = cfs_queue_pop (&t->waiting)))
-    cfs_queue_push (r->deadline <= now ? &late : &kept, r);
-  t->waiting = kept;
-  while ((r = cfs_queue_pop (&late)))
+    cfs_queue_push (r->deadline <= now ? &expired : &remaining, r);
+  t->waiting = remaining;
+  while ((r = cfs_queue_pop (&expired)))
     a->ops->refused (a->ctx, r, CFS_CODE_DEADLINE);
 }
 
@@ -149,9 +150,10 @@
       if (t->waiting.count == 0)
         continue;
       expire (a, t, now);
-      if (t->outstanding_id && now - t->asked_at >= TOKEN_REQUEST_TIMEOUT_US)
+      if (t->outstanding_id
+          && now - t->requested_at >= TOKEN_REQUEST_TIMEOUT_US)
         t->outstanding_id = 0;
       spend (a, t, now);
-      ask (a, t, now);
+      request_tokens (a, t, now);
     }
 }
--- a/src/request/admit.h
+++ b/src/request/admit.h
@@ -27,7 +27,8 @@
  */
 struct cfs_admit_ops
 {
-  void (*ask) (void *ctx, const char *team, uint64_t id, uint32_t count);
+  void (*request_tokens) (void *ctx, const char *team, uint64_t id,
+                          uint32_t count);
   void (*admitted) (void *ctx, struct cfs_request *request);
   void (*refused) (void *ctx, struct cfs_request *request, enum cfs_code code);
 };
@@ -44,8 +45,8 @@
   uint32_t tokens;
   int64_t last_token_at;
   int64_t reply_delay_us;
-  int64_t asked_at;
-  int64_t ask_after;
+  int64_t requested_at;
+  int64_t next_request_at;
 };
 
 /** struct cfs_admit - admission of one entry host */
--- a/src/request/entry.c
+++ b/src/request/entry.c
@@ -16,7 +16,7 @@
 #define HTTP_OK 200
 #define HTTP_UNAVAILABLE 503
 
-static void forward_job (struct entry_request *j, int64_t now);
+static void forward_request (struct entry_request *er, int64_t now);
 
 uint64_t
 entry_id (struct cfs_entry *e)
@@ -36,9 +36,9 @@
 }
 
 static void
-answer_problem (struct cfs_entry *e, struct cfs_http_request *call,
-                enum cfs_code code, enum cfs_outcome outcome,
-                const char *detail, const char *session)
+respond_problem (struct cfs_entry *e, struct cfs_http_request *call,
+                 enum cfs_code code, enum cfs_outcome outcome,
+                 const char *detail, const char *session)
 {
   struct cfs_http_response a = { .status = cfs_code_http (code),
                                  .type = "application/problem+json",
@@ -57,7 +57,7 @@
   a.body = text;
   if (a.status == HTTP_UNAVAILABLE || code == CFS_CODE_RATE_LIMITED)
     a.retry_after = 1;
-  e->answers[code]++;
+  e->response_counts[code]++;
   cfs_http_respond (call, &a);
   free (text);
   cJSON_Delete (doc);
@@ -68,103 +68,103 @@
                enum cfs_code code, enum cfs_outcome outcome,
                const char *detail)
 {
-  answer_problem (e, call, code, outcome, detail, NULL);
+  respond_problem (e, call, code, outcome, detail, NULL);
 }
 
 void
-entry_free_request (struct entry_request *j)
+entry_free_request (struct entry_request *er)
 {
-  for (size_t i = 0; i < j->param_count; i++)
-    if (!j->params[i].null)
-      free (j->params[i].text);
-  if (j->bearer)
-    sodium_memzero (j->bearer, strlen (j->bearer));
-  free (j->bearer);
-  free (j->params);
-  free (j->param_list);
-  free (j->sql);
-  free (j);
+  for (size_t i = 0; i < er->param_count; i++)
+    if (!er->params[i].null)
+      free (er->params[i].text);
+  if (er->bearer)
+    sodium_memzero (er->bearer, strlen (er->bearer));
+  free (er->bearer);
+  free (er->params);
+  free (er->param_list);
+  free (er->sql);
+  free (er);
 }
 
 /* Outcome of a job that is given up in its present state. */
 static enum cfs_outcome
-outcome_of (const struct entry_request *j)
+outcome_of (const struct entry_request *er)
 {
-  bool sent = j->state == ENTRY_SENT && j->id;
+  bool sent = er->state == ENTRY_SENT && er->id;
 
-  return sent || j->request.unsure ? CFS_UNKNOWN : CFS_NOT_RUN;
+  return sent || er->request.maybe_applied ? CFS_UNKNOWN : CFS_NOT_RUN;
 }
 
 static void
-link_job (struct cfs_entry *e, struct entry_request *j)
+link_request (struct cfs_entry *e, struct entry_request *er)
 {
-  j->next = e->jobs;
-  if (j->next)
-    j->next->prev = j;
-  e->jobs = j;
+  er->next = e->requests;
+  if (er->next)
+    er->next->prev = er;
+  e->requests = er;
   e->open++;
 }
 
 static void
-forget_id (struct entry_request *j)
+clear_sent_id (struct entry_request *er)
 {
-  if (j->id)
-    apr_hash_set (j->entry->sent, &j->id, sizeof j->id, NULL);
-  j->id = 0;
+  if (er->id)
+    apr_hash_set (er->entry->sent, &er->id, sizeof er->id, NULL);
+  er->id = 0;
 }
 
 static void
-end_job (struct entry_request *j)
+end_request (struct entry_request *er)
 {
-  struct cfs_entry *e = j->entry;
+  struct cfs_entry *e = er->entry;
 
-  forget_id (j);
-  if (j->prev)
-    j->prev->next = j->next;
+  clear_sent_id (er);
+  if (er->prev)
+    er->prev->next = er->next;
   else
-    e->jobs = j->next;
-  if (j->next)
-    j->next->prev = j->prev;
+    e->requests = er->next;
+  if (er->next)
+    er->next->prev = er->prev;
   e->open--;
-  entry_free_request (j);
+  entry_free_request (er);
 }
 
 void
-entry_finish (struct entry_request *j, enum cfs_code code,
+entry_finish (struct entry_request *er, enum cfs_code code,
               enum cfs_outcome outcome, const char *detail)
 {
-  entry_problem (j->entry, j->call, code, outcome, detail);
-  end_job (j);
+  entry_problem (er->entry, er->call, code, outcome, detail);
+  end_request (er);
 }
 
 static void
-ask_limiter (void *ctx, const char *team, uint64_t id, uint32_t count)
+send_token_request (void *ctx, const char *team, uint64_t id, uint32_t count)
 {
   struct cfs_entry *e = ctx;
   const struct cfs_lease *l
       = cfs_directory_holder (e->setup.directory, LIMIT_PREFIX, team);
   Cfs__Peer out = CFS__PEER__INIT;
-  Cfs__TokenAsk ask = CFS__TOKEN_ASK__INIT;
+  Cfs__TokenAsk msg = CFS__TOKEN_ASK__INIT;
 
   if (!l)
     return;
-  ask.id = id;
-  ask.team = (char *)team;
-  ask.epoch = l->epoch;
-  ask.count = count;
+  msg.id = id;
+  msg.team = (char *)team;
+  msg.epoch = l->epoch;
+  msg.count = count;
   out.body_case = CFS__PEER__BODY_ASK;
-  out.ask = &ask;
+  out.ask = &msg;
   cfs_net_send (e->setup.net, l->address, l->port, &out);
 }
 
 static void
 on_admitted (void *ctx, struct cfs_request *r)
 {
-  struct entry_request *j = r->payload;
+  struct entry_request *er = r->payload;
 
   (void)ctx;
-  j->state = ENTRY_WAITING;
-  forward_job (j, cfs_now ());
+  er->state = ENTRY_WAITING;
+  forward_request (er, cfs_now ());
 }
 
 static void
@@ -175,7 +175,7 @@
 }
 
 static const struct cfs_admit_ops admit_ops
-    = { ask_limiter, on_admitted, on_refused };
+    = { send_token_request, on_admitted, on_refused };
 
 struct cfs_entry *
 cfs_entry_new (const struct cfs_entry_setup *setup)
@@ -186,7 +186,7 @@
   apr_pool_create (&e->pool, NULL);
   e->sent = apr_hash_make (e->pool);
   cfs_admit_init (&e->admit, &admit_ops, e);
-  cfs_table_init (&e->announced, sizeof (struct sent_announcement));
+  cfs_table_init (&e->sent_announcements, sizeof (struct sent_announcement));
   cfs_token_derive_key (setup->settings->curve_secret, e->token_key);
   e->next_id = (uint64_t)randombytes_random () << 32;
   return e;
@@ -200,116 +200,118 @@
   if (!e)
     return;
   cfs_admit_end (&e->admit);
-  while (e->jobs)
-    entry_finish (e->jobs, CFS_CODE_DRAINING, outcome_of (e->jobs), NULL);
-  for (size_t i = 0; i < e->call_count; i++)
-    cfs_http_respond (e->calls[i].call, &gone);
-  free (e->calls);
-  cfs_table_end (&e->announced);
+  while (e->requests)
+    entry_finish (e->requests, CFS_CODE_DRAINING, outcome_of (e->requests),
+                  NULL);
+  for (size_t i = 0; i < e->operator_request_count; i++)
+    cfs_http_respond (e->operator_requests[i].call, &gone);
+  free (e->operator_requests);
+  cfs_table_end (&e->sent_announcements);
   apr_pool_destroy (e->pool);
   free (e);
 }
 
 void
-entry_submit (struct cfs_entry *e, struct entry_request *j,
+entry_submit (struct cfs_entry *e, struct entry_request *er,
               const struct cfs_team *team, int64_t deadline_ms)
 {
   int64_t now = cfs_now ();
-  struct cfs_request *r = &j->request;
+  struct cfs_request *r = &er->request;
 
   cfs_copy (r->team, sizeof r->team, team->name);
   r->weight = team->weight;
   r->arrived_at = now;
   r->deadline = now + deadline_ms * CFS_US_PER_MS;
-  j->checked_version = e->setup.directory->conf->version;
-  j->state = ENTRY_ADMITTING;
-  link_job (e, j);
+  er->checked_version = e->setup.directory->conf->version;
+  er->state = ENTRY_ADMITTING;
+  link_request (e, er);
   cfs_admit_submit (&e->admit, r, team->rate, team->burst, now);
 }
 
 /* Whether the key that came with a call still opens the same team. */
 static bool
-key_still_valid (struct entry_request *j)
+key_still_valid (struct entry_request *er)
 {
-  const struct cfs_conf *conf = j->entry->setup.directory->conf;
+  const struct cfs_conf *conf = er->entry->setup.directory->conf;
   const struct cfs_team *team;
 
-  if (!j->bearer || conf->version == j->checked_version)
+  if (!er->bearer || conf->version == er->checked_version)
     return true;
-  team = cfs_conf_authenticate (conf, j->bearer);
-  j->checked_version = conf->version;
-  return team && strcmp (team->name, j->token.team) == 0;
+  team = cfs_conf_authenticate (conf, er->bearer);
+  er->checked_version = conf->version;
+  return team && strcmp (team->name, er->token.team) == 0;
 }
 
 static int
-send_job (struct entry_request *j, const struct cfs_lease *gate, int64_t now)
+send_request (struct entry_request *er, const struct cfs_lease *gate,
+              int64_t now)
 {
-  const struct cfs_request *r = &j->request;
+  const struct cfs_request *r = &er->request;
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__Execute x = CFS__EXECUTE__INIT;
   int64_t budget = r->deadline - now - RETURN_MARGIN_US;
 
-  x.id = entry_id (j->entry);
-  x.group = j->group;
+  x.id = entry_id (er->entry);
+  x.group = er->group;
   x.epoch = gate->epoch;
   x.team = (char *)r->team;
   x.weight = r->weight;
   x.kind = r->kind;
-  if (j->sql)
-    x.sql = j->sql;
-  x.params = j->param_list;
-  x.n_params = j->param_count;
+  if (er->sql)
+    x.sql = er->sql;
+  x.params = er->param_list;
+  x.n_params = er->param_count;
   x.max_age_us = (uint64_t)r->max_age_us;
   x.budget_us = budget > 0 ? (uint64_t)budget : 0;
   x.token_term = r->token_term;
   x.token_position = r->token_position;
   x.idempotency_key = (char *)r->key;
   x.transaction = (char *)r->transaction;
-  x.once = r->once;
+  x.once = r->send_once;
   out.body_case = CFS__PEER__BODY_EXECUTE;
   out.execute = &x;
-  j->id = x.id;
-  return cfs_net_send (j->entry->setup.net, gate->address, gate->port, &out);
+  er->id = x.id;
+  return cfs_net_send (er->entry->setup.net, gate->address, gate->port, &out);
 }
 
 /* Sends a waiting job to its gate, if there is one that can be reached. */
 static void
-forward_job (struct entry_request *j, int64_t now)
+forward_request (struct entry_request *er, int64_t now)
 {
-  const struct cfs_directory *d = j->entry->setup.directory;
+  const struct cfs_directory *d = er->entry->setup.directory;
   const struct cfs_lease *gate
-      = cfs_directory_holder (d, GATE_PREFIX, j->group);
+      = cfs_directory_holder (d, GATE_PREFIX, er->group);
 
   if (!cfs_directory_leased (d, now))
     return;
-  if (!key_still_valid (j))
+  if (!key_still_valid (er))
     {
-      entry_finish (j, CFS_CODE_UNAUTHENTICATED, outcome_of (j),
+      entry_finish (er, CFS_CODE_UNAUTHENTICATED, outcome_of (er),
                     "the key was withdrawn");
       return;
     }
-  if (!gate || now < j->retry_at)
+  if (!gate || now < er->retry_at)
     return;
-  if (send_job (j, gate, now) != CFS_OK)
+  if (send_request (er, gate, now) != CFS_OK)
     {
-      j->id = 0;
+      er->id = 0;
       return;
     }
-  j->state = ENTRY_SENT;
-  j->sent_epoch = gate->epoch;
-  j->orphaned_at = 0;
-  apr_hash_set (j->entry->sent, &j->id, sizeof j->id, j);
+  er->state = ENTRY_SENT;
+  er->sent_epoch = gate->epoch;
+  er->orphaned_at = 0;
+  apr_hash_set (er->entry->sent, &er->id, sizeof er->id, er);
 }
 
 /* Joins the head of our answer with the gate's JSON object. */
 static char *
-make_body (const struct entry_request *j, const Cfs__Answer *in)
+make_body (const struct entry_request *er, const Cfs__Answer *in)
 {
   const char *rest = in->body && in->body[0] == '{' ? in->body + 1 : "}";
   const char *comma = rest[0] == '}' ? "" : ",";
   const char *where = in->replica ? "replica" : "primary";
 
-  if (j->request.kind == CFS_BEGIN)
+  if (er->request.kind == CFS_BEGIN)
     return g_strdup_printf ("{\"outcome\":\"done\",\"transaction\":\"%s\"}",
                             in->transaction);
   return g_strdup_printf ("{\"outcome\":\"done\",\"from\":\"%s\"%s%s", where,
@@ -317,64 +319,64 @@
 }
 
 static void
-answer_done (struct entry_request *j, const Cfs__Answer *in)
+respond_done (struct entry_request *er, const Cfs__Answer *in)
 {
   struct cfs_http_response a = { .status = HTTP_OK };
   char session[TOKEN_TEXT_MAX];
   char *body;
 
-  if (cfs_token_advance (&j->token, j->group, in->term, in->position)
+  if (cfs_token_advance (&er->token, er->group, in->term, in->position)
       != CFS_OK)
     {
-      entry_finish (j, CFS_CODE_BAD_REQUEST, CFS_DONE,
+      entry_finish (er, CFS_CODE_BAD_REQUEST, CFS_DONE,
                     "the session spans too many groups");
       return;
     }
-  cfs_token_write (&j->token, j->entry->token_key, session);
-  body = make_body (j, in);
+  cfs_token_write (&er->token, er->entry->token_key, session);
+  body = make_body (er, in);
   a.body = body;
   a.session = session;
-  j->entry->answers[CFS_CODE_OK]++;
-  cfs_http_respond (j->call, &a);
+  er->entry->response_counts[CFS_CODE_OK]++;
+  cfs_http_respond (er->call, &a);
   g_free (body);
-  end_job (j);
+  end_request (er);
 }
 
 /* Tells a session that a change it has seen is gone, and lets it go on from
    the kept history. */
 static void
-answer_lost (struct entry_request *j, const Cfs__Answer *in)
+respond_write_lost (struct entry_request *er, const Cfs__Answer *in)
 {
   char session[TOKEN_TEXT_MAX];
 
-  cfs_token_reset (&j->token, j->group, in->term, in->position);
-  cfs_token_write (&j->token, j->entry->token_key, session);
-  answer_problem (j->entry, j->call, CFS_CODE_WRITE_LOST, outcome_of (j),
-                  "a change that this session has seen was lost", session);
-  end_job (j);
+  cfs_token_reset (&er->token, er->group, in->term, in->position);
+  cfs_token_write (&er->token, er->entry->token_key, session);
+  respond_problem (er->entry, er->call, CFS_CODE_WRITE_LOST, outcome_of (er),
+                   "a change that this session has seen was lost", session);
+  end_request (er);
 }
 
 void
 cfs_entry_gate_reply (struct cfs_entry *e, const Cfs__Answer *in, int64_t now)
 {
-  struct entry_request *j = apr_hash_get (e->sent, &in->id, sizeof in->id);
+  struct entry_request *er = apr_hash_get (e->sent, &in->id, sizeof in->id);
 
-  if (!j)
+  if (!er)
     return;
-  forget_id (j);
+  clear_sent_id (er);
   if (in->code == CFS_CODE_OK)
-    answer_done (j, in);
+    respond_done (er, in);
   else if (in->code == CFS_CODE_MOVED && in->outcome == CFS_NOT_RUN)
     {
-      j->state = ENTRY_WAITING;
-      j->retry_at = now + MOVED_PAUSE_US;
+      er->state = ENTRY_WAITING;
+      er->retry_at = now + MOVED_PAUSE_US;
     }
   else if (in->code == CFS_CODE_WRITE_LOST)
-    answer_lost (j, in);
+    respond_write_lost (er, in);
   else if (in->outcome == CFS_NOT_RUN)
-    entry_finish (j, (enum cfs_code)in->code, outcome_of (j), in->body);
+    entry_finish (er, (enum cfs_code)in->code, outcome_of (er), in->body);
   else
-    entry_finish (j, (enum cfs_code)in->code, (enum cfs_outcome)in->outcome,
+    entry_finish (er, (enum cfs_code)in->code, (enum cfs_outcome)in->outcome,
                   in->body);
 }
 
@@ -390,62 +392,63 @@
 
 /* Whether a call that a gate may have run can be run again without harm. */
 static bool
-may_send_again (const struct entry_request *j)
+may_resend (const struct entry_request *er)
 {
-  if (j->request.kind == CFS_READ)
+  if (er->request.kind == CFS_READ)
     return true;
-  return j->request.kind == CFS_WRITE && *j->request.key && !j->request.once;
+  return er->request.kind == CFS_WRITE && *er->request.key
+         && !er->request.send_once;
 }
 
 /* A job whose gate is no longer the holder: send it to the new one, or wait
    a little for the old one's answer. */
 static void
-follow_gate_lease (struct entry_request *j, int64_t now)
+follow_gate_lease (struct entry_request *er, int64_t now)
 {
   const struct cfs_lease *gate = cfs_directory_holder (
-      j->entry->setup.directory, GATE_PREFIX, j->group);
+      er->entry->setup.directory, GATE_PREFIX, er->group);
 
-  if (!gate || gate->epoch <= j->sent_epoch)
+  if (!gate || gate->epoch <= er->sent_epoch)
     return;
-  if (may_send_again (j))
+  if (may_resend (er))
     {
-      forget_id (j);
-      j->state = ENTRY_WAITING;
-      j->request.unsure = true;
-      forward_job (j, now);
+      clear_sent_id (er);
+      er->state = ENTRY_WAITING;
+      er->request.maybe_applied = true;
+      forward_request (er, now);
       return;
     }
-  if (!j->orphaned_at)
-    j->orphaned_at = now;
-  else if (now - j->orphaned_at > ORPHAN_WAIT_US)
-    entry_finish (j, CFS_CODE_CONNECTION_LOST, CFS_UNKNOWN,
+  if (!er->orphaned_at)
+    er->orphaned_at = now;
+  else if (now - er->orphaned_at > ORPHAN_WAIT_US)
+    entry_finish (er, CFS_CODE_CONNECTION_LOST, CFS_UNKNOWN,
                   "the gate was lost");
 }
 
 /* Why a job is late: nobody holds the gate of its group, or time ran out. */
 static enum cfs_code
-timeout_code (const struct entry_request *j)
+timeout_code (const struct entry_request *er)
 {
-  bool held = cfs_directory_holder (j->entry->setup.directory, GATE_PREFIX,
-                                    j->group);
+  bool held = cfs_directory_holder (er->entry->setup.directory, GATE_PREFIX,
+                                    er->group);
 
   return held ? CFS_CODE_DEADLINE : CFS_CODE_NO_TARGET;
 }
 
 static void
-tick_job (struct entry_request *j, int64_t now)
+tick_request (struct entry_request *er, int64_t now)
 {
-  if (j->state == ENTRY_ADMITTING)
+  if (er->state == ENTRY_ADMITTING)
     return;
-  if (now >= j->request.deadline)
+  if (now >= er->request.deadline)
     {
-      entry_finish (j, timeout_code (j), outcome_of (j), NULL);
+      entry_finish (er, timeout_code (er), outcome_of (er), NULL);
       return;
     }
-  if (j->state == ENTRY_SENT)
-    follow_gate_lease (j, now);
+  if (er->state == ENTRY_SENT)
+    follow_gate_lease (er, now);
   else
-    forward_job (j, now);
+    forward_request (er, now);
 }
 
 void
@@ -454,10 +457,10 @@
   struct entry_request *next;
 
   cfs_admit_tick (&e->admit, now);
-  for (struct entry_request *j = e->jobs; j; j = next)
+  for (struct entry_request *er = e->requests; er; er = next)
     {
-      next = j->next;
-      tick_job (j, now);
+      next = er->next;
+      tick_request (er, now);
     }
 }
 
@@ -479,11 +482,11 @@
 size_t
 cfs_entry_open (const struct cfs_entry *e)
 {
-  return e->open + e->call_count;
+  return e->open + e->operator_request_count;
 }
 
 static void
-answer_health (struct cfs_http_request *call, bool ok)
+respond_health (struct cfs_http_request *call, bool ok)
 {
   struct cfs_http_response a = { .status = ok ? HTTP_OK : HTTP_UNAVAILABLE,
                                  .type = "text/plain",
@@ -493,7 +496,7 @@
 }
 
 static void
-answer_metrics (struct cfs_entry *e, struct cfs_http_request *call)
+respond_metrics (struct cfs_entry *e, struct cfs_http_request *call)
 {
   const struct cfs_directory *d = e->setup.directory;
   GString *out = g_string_new (NULL);
@@ -502,7 +505,7 @@
   for (int c = 0; c < CFS_CODE_COUNT; c++)
     g_string_append_printf (
         out, "coltsfootstage_answers_total{code=\"%s\"} %" PRIu64 "\n",
-        cfs_code_name ((enum cfs_code)c), e->answers[c]);
+        cfs_code_name ((enum cfs_code)c), e->response_counts[c]);
   g_string_append_printf (out,
                           "coltsfootstage_calls_open %zu\n"
                           "coltsfootstage_config_version %" PRIu64 "\n"
@@ -557,13 +560,13 @@
   const char *path = cfs_http_request_path (call);
 
   if (strcmp (path, "/healthz") == 0)
-    answer_health (call, true);
+    respond_health (call, true);
   else if (strcmp (path, "/readyz") == 0)
-    answer_health (
+    respond_health (
         call,
         !e->draining && cfs_directory_leased (e->setup.directory, cfs_now ()));
   else if (strcmp (path, "/metrics") == 0)
-    answer_metrics (e, call);
+    respond_metrics (e, call);
   else
     versioned_request (e, call);
 }
--- a/src/request/entry_int.h
+++ b/src/request/entry_int.h
@@ -80,16 +80,16 @@
   struct cfs_admit admit;
   apr_pool_t *pool;
   apr_hash_t *sent;
-  struct entry_request *jobs;
+  struct entry_request *requests;
   size_t open;
   uint64_t next_id;
   unsigned char token_key[TOKEN_KEY_BYTES];
-  struct cfs_table announced;
-  struct operator_request *calls;
-  size_t call_count;
-  size_t call_cap;
+  struct cfs_table sent_announcements;
+  struct operator_request *operator_requests;
+  size_t operator_request_count;
+  size_t operator_request_cap;
   bool draining;
-  uint64_t answers[CFS_CODE_COUNT];
+  uint64_t response_counts[CFS_CODE_COUNT];
 };
 
 /** entry_id() - number that no earlier run of this host has used */
@@ -112,14 +112,14 @@
                       const char *what);
 
 /** entry_submit() - takes a checked job into admission */
-void entry_submit (struct cfs_entry *entry, struct entry_request *job,
+void entry_submit (struct cfs_entry *entry, struct entry_request *request,
                    const struct cfs_team *team, int64_t deadline_ms);
 
 /** entry_finish() - answers a job with a refusal and frees it */
-void entry_finish (struct entry_request *job, enum cfs_code code,
+void entry_finish (struct entry_request *request, enum cfs_code code,
                    enum cfs_outcome outcome, const char *detail);
 
 /** entry_free_request() - frees a job whose call was answered */
-void entry_free_request (struct entry_request *job);
+void entry_free_request (struct entry_request *request);
 
 #endif
--- a/src/request/gate.c
+++ b/src/request/gate.c
@@ -25,14 +25,14 @@
   .primary_timeout_us = 1000 * CFS_US_PER_MS,
   .former_primary_wait_us = 200 * CFS_US_PER_MS,
   .replication_stall_us = 1200 * CFS_US_PER_MS,
-  .pause_us = 200 * CFS_US_PER_MS,
+  .tick_gap_us = 200 * CFS_US_PER_MS,
   .reachable_timeout_us = 300 * CFS_US_PER_MS,
   .replica_wait_us = 100 * CFS_US_PER_MS,
   .primary_leave_timeout_us = 2 * CFS_US_PER_S,
   .drain_transaction_idle_us = 3 * CFS_US_PER_S,
   .transaction_timeout_us = 30 * CFS_US_PER_S,
   .overcommit_percent = 50,
-  .attempts = 4,
+  .max_attempts = 4,
   .retry_ratio = 0.1,
   .retry_budget_max = 20,
   .wait_for_replica = true,
@@ -81,13 +81,14 @@
 gate_reply (struct cfs_gate *g, struct cfs_request *r, enum cfs_code code,
             enum cfs_outcome outcome, void *body)
 {
-  struct cfs_gate_reply v = { .code = code, .outcome = outcome, .body = body };
+  struct cfs_gate_reply reply
+      = { .code = code, .outcome = outcome, .body = body };
 
-  if (r->unsure && outcome == CFS_NOT_RUN && code != CFS_CODE_SQL_ERROR)
-    v.outcome = CFS_UNKNOWN;
-  if (v.outcome == CFS_NOT_RUN && code != CFS_CODE_SQL_ERROR)
+  if (r->maybe_applied && outcome == CFS_NOT_RUN && code != CFS_CODE_SQL_ERROR)
+    reply.outcome = CFS_UNKNOWN;
+  if (reply.outcome == CFS_NOT_RUN && code != CFS_CODE_SQL_ERROR)
     g->stats.refused++;
-  g->ops->answer (g->ctx, r, &v);
+  g->ops->reply (g->ctx, r, &reply);
 }
 
 /* Outcome of a request that is given up now: sent ones are not certain. */
@@ -133,7 +134,7 @@
 
   if (s->now < r->not_before || (*r->key && key_in_use (s->gate, r)))
     return false;
-  if (r->kind == CFS_BEGIN && in->pinned * 2 >= gate_conn_limit (in))
+  if (r->kind == CFS_BEGIN && in->pinned_conns * 2 >= gate_conn_limit (in))
     return false;
   s->conn = gate_conn_take (s->gate, (unsigned)s->inst, s->now);
   return s->conn >= 0;
@@ -205,8 +206,8 @@
 bool
 gate_retry (struct cfs_gate *g, struct cfs_request *r, int64_t now)
 {
-  if (r->once || r->attempts >= g->tuning.attempts || g->retry_budget < 1
-      || now + RETRY_PAUSE_US >= r->deadline)
+  if (r->send_once || r->attempts >= g->tuning.max_attempts
+      || g->retry_budget < 1 || now + RETRY_PAUSE_US >= r->deadline)
     return false;
   r->not_before = now + RETRY_PAUSE_US
                   + (int64_t)(cfs_random (&g->seed) % RETRY_PAUSE_US);
@@ -222,17 +223,18 @@
              struct cfs_request *r, const struct cfs_work_result *res,
              int64_t now)
 {
-  struct cfs_gate_reply v = { .code = CFS_CODE_OK,
-                              .outcome = CFS_DONE,
-                              .term = res->term,
-                              .position = res->position,
-                              .body = res->body };
-  bool kept = route_token (&g->group, r->token_term, r->token_position)
-                  == TOKEN_VALID
-              && route_token (&g->group, res->term, res->seen) == TOKEN_VALID
-              && res->position >= r->token_position;
-
-  if (!gate_lease_valid (g, now) || !kept)
+  struct cfs_gate_reply reply = { .code = CFS_CODE_OK,
+                                  .outcome = CFS_DONE,
+                                  .term = res->term,
+                                  .position = res->position,
+                                  .body = res->body };
+  bool valid = route_check_token (&g->group, r->token_term, r->token_position)
+                   == TOKEN_VALID
+               && route_check_token (&g->group, res->term, res->position_max)
+                      == TOKEN_VALID
+               && res->position >= r->token_position;
+
+  if (!gate_lease_valid (g, now) || !valid)
     {
       g->ops->discard (g->ctx, res->body);
       if (gate_lease_valid (g, now) && gate_retry (g, r, now))
@@ -240,12 +242,12 @@
       gate_reply (g, r, CFS_CODE_NO_LEASE, CFS_UNKNOWN, NULL);
       return;
     }
-  v.replica = (int)conn->inst != gate_primary (g);
-  if (v.replica)
+  reply.replica = (int)conn->inst != gate_primary (g);
+  if (reply.replica)
     g->stats.reads_replica++;
   else
     g->stats.reads_primary++;
-  g->ops->answer (g->ctx, r, &v);
+  g->ops->reply (g->ctx, r, &reply);
 }
 
 static void
@@ -283,29 +285,29 @@
 
 /* A connection ended under a request. */
 static void
-finish_lost (struct cfs_gate *g, struct cfs_request *r,
-             enum cfs_work_status ran, int64_t now)
+finish_disconnected (struct cfs_gate *g, struct cfs_request *r,
+                     enum cfs_work_status status, int64_t now)
 {
-  bool unsure = ran == WORK_STATUS_UNKNOWN && r->kind != CFS_READ;
+  bool maybe_applied = status == WORK_STATUS_UNKNOWN && r->kind != CFS_READ;
   bool single = r->kind == CFS_READ || r->kind == CFS_WRITE;
 
-  r->unsure |= unsure;
-  if (single && (!unsure || *r->key) && gate_retry (g, r, now))
+  r->maybe_applied |= maybe_applied;
+  if (single && (!maybe_applied || *r->key) && gate_retry (g, r, now))
     return;
   if (r->kind == CFS_STATEMENT || r->kind == CFS_ROLLBACK)
     gate_reply (g, r, CFS_CODE_TRANSACTION_LOST, CFS_NOT_RUN, NULL);
   else
-    gate_reply (g, r,
-                now >= r->deadline ? CFS_CODE_DEADLINE
-                                   : CFS_CODE_CONNECTION_LOST,
-                ran == WORK_STATUS_UNKNOWN ? CFS_UNKNOWN : CFS_NOT_RUN, NULL);
+    gate_reply (
+        g, r,
+        now >= r->deadline ? CFS_CODE_DEADLINE : CFS_CODE_CONNECTION_LOST,
+        status == WORK_STATUS_UNKNOWN ? CFS_UNKNOWN : CFS_NOT_RUN, NULL);
 }
 
 static void
 finish (struct cfs_gate *g, const struct gate_conn *conn,
         struct cfs_request *r, const struct cfs_work_result *res, int64_t now)
 {
-  switch (res->ran)
+  switch (res->status)
     {
     case WORK_STATUS_OK:
     case WORK_STATUS_REPLAYED:
@@ -326,7 +328,7 @@
       break;
     default:
       g->ops->discard (g->ctx, res->body);
-      finish_lost (g, r, res->ran, now);
+      finish_disconnected (g, r, res->status, now);
       break;
     }
 }
@@ -337,35 +339,35 @@
               const struct cfs_work_result *res, int64_t now)
 {
   struct gate_conn *conn = &g->conn[c];
-  bool opens = before->work == WORK_BEGIN && res->ran == WORK_STATUS_OK;
+  bool begins = before->work == WORK_BEGIN && res->status == WORK_STATUS_OK;
   bool inside
       = before->work == WORK_STATEMENT
-        && (res->ran == WORK_STATUS_OK || res->ran == WORK_STATUS_ERROR);
+        && (res->status == WORK_STATUS_OK || res->status == WORK_STATUS_ERROR);
 
   conn->request = NULL;
   if (!res->clean || g->inst[conn->inst].leaving)
     {
-      if (!res->clean || !(opens || inside))
+      if (!res->clean || !(begins || inside))
         {
           gate_conn_close (g, c);
           return;
         }
     }
   g->inst[conn->inst].running--;
-  conn->state = opens || inside ? CONN_PINNED : CONN_IDLE;
+  conn->state = begins || inside ? CONN_PINNED : CONN_IDLE;
   conn->idle_since = now;
   if (conn->state == CONN_IDLE && *conn->transaction)
     {
-      g->inst[conn->inst].pinned--;
+      g->inst[conn->inst].pinned_conns--;
       conn->transaction[0] = '\0';
     }
-  if (opens)
+  if (begins)
     {
       const struct cfs_request *r = before->request;
 
       cfs_copy (conn->transaction, sizeof conn->transaction, r->transaction);
       cfs_copy (conn->team, sizeof conn->team, r->team);
-      g->inst[conn->inst].pinned++;
+      g->inst[conn->inst].pinned_conns++;
     }
 }
 
@@ -386,7 +388,7 @@
 static void
 abort_conn (struct cfs_gate *g, unsigned c, int64_t now)
 {
-  struct cfs_work_result res = { .ran = WORK_STATUS_UNKNOWN };
+  struct cfs_work_result res = { .status = WORK_STATUS_UNKNOWN };
 
   if (g->conn[c].state == CONN_BUSY)
     end_work (g, c, &res, now);
@@ -458,14 +460,14 @@
 static void
 reply_write_lost (struct cfs_gate *g, struct cfs_request *r)
 {
-  struct cfs_gate_reply v
+  struct cfs_gate_reply reply
       = { .code = CFS_CODE_WRITE_LOST, .outcome = CFS_NOT_RUN };
 
-  v.term = g->group.term;
+  reply.term = g->group.term;
   if (g->group.branch_count)
-    v.position = g->group.branches[g->group.branch_count - 1].start;
+    reply.position = g->group.branches[g->group.branch_count - 1].start;
   g->stats.refused++;
-  g->ops->answer (g->ctx, r, &v);
+  g->ops->reply (g->ctx, r, &reply);
 }
 
 static unsigned
@@ -576,28 +578,28 @@
 cfs_gate_update_instance (struct cfs_gate *g, const Cfs__Instance *in,
                           int64_t now)
 {
-  struct gate_instance *row = NULL;
+  struct gate_instance *inst = NULL;
 
-  for (unsigned i = 0; i < g->inst_count && !row; i++)
+  for (unsigned i = 0; i < g->inst_count && !inst; i++)
     if (strcmp (g->inst[i].name, in->name) == 0)
-      row = &g->inst[i];
-  if (!row && g->inst_count == GATE_INSTANCES_MAX)
+      inst = &g->inst[i];
+  if (!inst && g->inst_count == GATE_INSTANCES_MAX)
     return;
-  if (!row)
+  if (!inst)
     {
-      row = &g->inst[g->inst_count++];
-      memset (row, 0, sizeof *row);
-      cfs_copy (row->name, sizeof row->name, in->name);
+      inst = &g->inst[g->inst_count++];
+      memset (inst, 0, sizeof *inst);
+      cfs_copy (inst->name, sizeof inst->name, in->name);
       if (g->size < g->inst_count)
         g->size = g->inst_count;
     }
-  cfs_copy (row->address, sizeof row->address, in->address);
-  row->port = in->port;
-  row->slots = in->slots ? in->slots : 1;
-  row->connections = in->connections ? in->connections : 1;
-  if (in->leaving && !row->leaving)
-    row->leaving_since = now;
-  row->leaving = in->leaving;
+  cfs_copy (inst->address, sizeof inst->address, in->address);
+  inst->port = in->port;
+  inst->slots = in->slots ? in->slots : 1;
+  inst->connections = in->connections ? in->connections : 1;
+  if (in->leaving && !inst->leaving)
+    inst->leaving_since = now;
+  inst->leaving = in->leaving;
 }
 
 void
@@ -606,7 +608,7 @@
   enum cfs_lane lane = request_lane (r);
   int64_t wait;
 
-  g->stats.asked++;
+  g->stats.submitted++;
   r->arrived_at = now;
   g->retry_budget += g->tuning.retry_ratio;
   if (g->retry_budget > g->tuning.retry_budget_max)
@@ -624,7 +626,8 @@
       gate_reply (g, r, CFS_CODE_MOVED, CFS_NOT_RUN, NULL);
       return;
     }
-  if (route_token (&g->group, r->token_term, r->token_position) == TOKEN_LOST)
+  if (route_check_token (&g->group, r->token_term, r->token_position)
+      == TOKEN_LOST)
     {
       reply_write_lost (g, r);
       return;
@@ -687,14 +690,14 @@
 {
   struct gate_instance *in = &g->inst[inst];
 
-  if (inst >= g->inst_count || sent_at < in->last_probe_sent_at)
+  if (inst >= g->inst_count || sent_at < in->answered_probe_sent_at)
     return;
   in->term = term;
   in->position = position;
   in->start = start;
   in->primary = primary;
   in->last_probe_reply_at = now;
-  in->last_probe_sent_at = sent_at;
+  in->answered_probe_sent_at = sent_at;
   if ((int)inst == gate_primary (g) && primary && term == g->group.term)
     route_add_sample (g, position, sent_at);
   gate_check_acks (g, now);
@@ -715,9 +718,9 @@
       int64_t every = fast ? g->tuning.probe_fast_interval_us
                            : g->tuning.probe_interval_us;
 
-      if (now - in->asked_at < every)
+      if (now - in->last_probe_sent_at < every)
         continue;
-      in->asked_at = now;
+      in->last_probe_sent_at = now;
       g->ops->probe (g->ctx, i);
     }
 }
@@ -744,7 +747,7 @@
 warm_connections (struct cfs_gate *g, int64_t now)
 {
   for (unsigned i = 0; i < g->inst_count; i++)
-    if (!g->inst[i].leaving && g->inst[i].open < g->inst[i].slots)
+    if (!g->inst[i].leaving && g->inst[i].open_conns < g->inst[i].slots)
       gate_conn_open (g, i, now);
 }
 
@@ -753,7 +756,7 @@
 {
   struct cfs_request *r;
 
-  if (g->last_tick_at && now - g->last_tick_at > g->tuning.pause_us)
+  if (g->last_tick_at && now - g->last_tick_at > g->tuning.tick_gap_us)
     g->resumed_at = now;
   g->last_tick_at = now;
   while ((r = cfs_fair_expire (&g->fair, now)))
@@ -800,7 +803,7 @@
     {
       out->promoted_term = g->group.granted_term;
       out->start = g->promoted_start;
-      out->primary = g->inst[g->chosen].name;
+      out->primary = g->inst[g->candidate].name;
     }
   return out->want_term || out->promoted_term;
 }
--- a/src/request/gate.h
+++ b/src/request/gate.h
@@ -25,7 +25,7 @@
   int64_t primary_timeout_us; /* silence that makes a primary suspect */
   int64_t former_primary_wait_us; /* wait for others than the former primary */
   int64_t replication_stall_us;   /* replication standstill that does so */
-  int64_t pause_us; /* gap between ticks taken as a pause of ours */
+  int64_t tick_gap_us; /* gap between ticks taken as a pause of ours */
   int64_t reachable_timeout_us; /* silence after which no read goes there */
   int64_t replica_wait_us;      /* longest wait for a replica to catch up */
   int64_t
@@ -34,7 +34,7 @@
       transaction_timeout_us; /* idle time after which one is rolled back */
   int64_t drain_transaction_idle_us; /* the same while the gate is drained */
   unsigned overcommit_percent;       /* statements admitted beyond the slots */
-  unsigned attempts;                 /* times one request may be sent */
+  unsigned max_attempts;             /* times one request may be sent */
   double retry_ratio;                /* retries earned by each request */
   double retry_budget_max;           /* retries that may be saved up */
   bool wait_for_replica; /* wait for a replica rather than the primary */
@@ -96,10 +96,10 @@
  */
 struct cfs_work_result
 {
-  enum cfs_work_status ran;
+  enum cfs_work_status status;
   uint64_t term;
   uint64_t position;
-  uint64_t seen;
+  uint64_t position_max;
   bool clean;
   void *body;
 };
@@ -133,8 +133,8 @@
   void (*close) (void *ctx, unsigned conn);
   void (*run) (void *ctx, unsigned conn, enum cfs_work work,
                struct cfs_request *request);
-  void (*answer) (void *ctx, struct cfs_request *request,
-                  const struct cfs_gate_reply *verdict);
+  void (*reply) (void *ctx, struct cfs_request *request,
+                 const struct cfs_gate_reply *reply);
   void (*probe) (void *ctx, unsigned inst);
   void (*promote) (void *ctx, unsigned inst, uint64_t term);
   void (*discard) (void *ctx, void *body);
@@ -147,7 +147,7 @@
   uint64_t reads_primary;
   uint64_t writes;
   uint64_t sent;
-  uint64_t asked;
+  uint64_t submitted;
   uint64_t retries;
   uint64_t refused;
   uint64_t connects;
--- a/src/request/gate_ack.c
+++ b/src/request/gate_ack.c
@@ -22,69 +22,70 @@
 /* A write of an earlier term that the kept history includes stands at the
    same position of the present term, but a majority must hold it there. */
 static bool
-may_acknowledge (const struct cfs_gate *g, struct cfs_gate_reply *v)
+may_acknowledge (const struct cfs_gate *g, struct cfs_gate_reply *reply)
 {
-  if (v->term < g->group.term
-      && route_token (&g->group, v->term, v->position) == TOKEN_VALID)
-    v->term = g->group.term;
-  if (v->term != g->group.term)
+  if (reply->term < g->group.term
+      && route_check_token (&g->group, reply->term, reply->position)
+             == TOKEN_VALID)
+    reply->term = g->group.term;
+  if (reply->term != g->group.term)
     return false;
   if (g->phase != PHASE_SERVING && g->phase != PHASE_REQUESTING_TERM)
     return false;
   if (g->ack_primary)
     return g->phase == PHASE_SERVING;
-  return count_holders (g, v->position) >= gate_majority (g);
+  return count_holders (g, reply->position) >= gate_majority (g);
 }
 
 /* Settles one waiting write.  Returns whether it is done with. */
 static bool
 resolve_ack (struct cfs_gate *g, struct gate_pending_ack *a, int64_t now)
 {
-  struct cfs_gate_reply *v = &a->verdict;
+  struct cfs_gate_reply *reply = &a->reply;
   struct cfs_request *r = a->request;
 
   if (!gate_lease_valid (g, now))
     {
-      v->code = CFS_CODE_NO_LEASE;
-      v->outcome = CFS_UNKNOWN;
+      reply->code = CFS_CODE_NO_LEASE;
+      reply->outcome = CFS_UNKNOWN;
     }
-  else if (may_acknowledge (g, v))
+  else if (may_acknowledge (g, reply))
     {
-      v->code = CFS_CODE_OK;
-      v->outcome = CFS_DONE;
+      reply->code = CFS_CODE_OK;
+      reply->outcome = CFS_DONE;
     }
-  else if (v->term < g->group.term)
+  else if (reply->term < g->group.term)
     {
       if (*r->key && gate_retry (g, r, now))
         {
-          g->ops->discard (g->ctx, v->body);
+          g->ops->discard (g->ctx, reply->body);
           return true;
         }
-      v->code = CFS_CODE_SUPERSEDED;
-      v->outcome = CFS_UNKNOWN;
+      reply->code = CFS_CODE_SUPERSEDED;
+      reply->outcome = CFS_UNKNOWN;
     }
   else if (now >= r->deadline)
     {
-      v->code = CFS_CODE_DEADLINE;
-      v->outcome = CFS_UNKNOWN;
+      reply->code = CFS_CODE_DEADLINE;
+      reply->outcome = CFS_UNKNOWN;
     }
   else
     return false;
-  g->ops->answer (g->ctx, r, v);
+  g->ops->reply (g->ctx, r, reply);
   return true;
 }
 
 void
 gate_check_acks (struct cfs_gate *g, int64_t now)
 {
-  size_t kept = 0;
+  size_t remaining = 0;
 
   /* Invariant: pending_acks before kept still wait; those between kept and i
      are done with. */
   for (size_t i = 0; i < g->pending_ack_count; i++)
     if (!resolve_ack (g, &g->pending_acks[i], now))
-      g->pending_acks[kept++] = g->pending_acks[i];
-  g->pending_ack_count = kept;
+      g->pending_acks[remaining++] = g->pending_acks[i];
+  g->pending_ack_count = remaining;
 }
 
 void
@@ -98,8 +99,8 @@
   a = &g->pending_acks[g->pending_ack_count++];
   memset (a, 0, sizeof *a);
   a->request = r;
-  a->verdict.term = res->term;
-  a->verdict.position = res->position;
-  a->verdict.body = res->body;
+  a->reply.term = res->term;
+  a->reply.position = res->position;
+  a->reply.body = res->body;
   gate_check_acks (g, now);
 }
--- a/src/request/gate_conn.c
+++ b/src/request/gate_conn.c
@@ -19,8 +19,8 @@
   if (conn->state == CONN_BUSY)
     in->running--;
   if (*conn->transaction)
-    in->pinned--;
-  in->open--;
+    in->pinned_conns--;
+  in->open_conns--;
   memset (conn, 0, sizeof *conn);
 }
 
@@ -46,7 +46,7 @@
 {
   struct gate_instance *in = &g->inst[inst];
 
-  if (in->open >= gate_conn_limit (in) || now < in->connect_after)
+  if (in->open_conns >= gate_conn_limit (in) || now < in->connect_after)
     return;
   for (unsigned c = 0; c < CONN_COUNT; c++)
     if (g->conn[c].state == CONN_FREE)
@@ -55,7 +55,7 @@
         g->conn[c].inst = inst;
         if (c >= g->conn_used)
           g->conn_used = c + 1;
-        in->open++;
+        in->open_conns++;
         g->stats.connects++;
         g->ops->connect (g->ctx, c, inst);
         return;
--- a/src/request/gate_int.h
+++ b/src/request/gate_int.h
@@ -40,17 +40,17 @@
   unsigned connections;
   bool leaving;
   bool primary;
-  int64_t asked_at;
+  int64_t last_probe_sent_at;
   uint64_t term;
   uint64_t position;
   uint64_t start;
   int64_t last_probe_reply_at;
-  int64_t last_probe_sent_at;
+  int64_t answered_probe_sent_at;
   int64_t connect_after;
   int64_t leaving_since;
-  unsigned open;
+  unsigned open_conns;
   unsigned running;
-  unsigned pinned;
+  unsigned pinned_conns;
 };
 
 /** enum gate_conn_state - state of one connection */
@@ -82,7 +82,7 @@
 struct gate_pending_ack
 {
   struct cfs_request *request;
-  struct cfs_gate_reply verdict;
+  struct cfs_gate_reply reply;
 };
 
 /** struct primary_sample - a position that the primary had at a known time */
@@ -107,10 +107,10 @@
   bool draining;
   enum cfs_gate_phase phase;
   int64_t phase_since;
-  unsigned chosen;
+  unsigned candidate;
   uint64_t promoted_start;
   uint64_t used_term;
-  uint64_t kept;
+  uint64_t candidate_position;
   bool candidate_current;
   int64_t stall_since;
   uint64_t stall_position;
@@ -172,8 +172,8 @@
 };
 
 /** route_token() - judges a session's position */
-enum route_token route_token (const struct cfs_group *group, uint64_t term,
-                              uint64_t position);
+enum route_token route_check_token (const struct cfs_group *group,
+                                    uint64_t term, uint64_t position);
 
 /** promote_tick() - detection, choice and promotion of a primary */
 void promote_tick (struct cfs_gate *gate, int64_t now);
--- a/src/request/gates.c
+++ b/src/request/gates.c
@@ -19,7 +19,7 @@
 #define PARAMS_MAX 64
 
 /* A statement at this gate, from an entry host's message to its answer. */
-struct job
+struct gate_request
 {
   struct cfs_request request;
   struct cfs_origin origin;
@@ -62,23 +62,23 @@
   Cfs__Release *releases;
   Cfs__Release **release_list;
   char (*release_names)[CFS_NAME_MAX];
-  size_t room;
+  size_t report_cap;
 };
 
 static const struct cfs_sql *
 request_statement (const struct cfs_request *r)
 {
-  return &((const struct job *)r->payload)->sql;
+  return &((const struct gate_request *)r->payload)->sql;
 }
 
 static void
-free_request (struct job *j)
+free_request (struct gate_request *gr)
 {
-  for (int i = 0; i < j->sql.param_count; i++)
-    free (j->params[i]);
-  free (j->params);
-  free (j->text);
-  free (j);
+  for (int i = 0; i < gr->sql.param_count; i++)
+    free (gr->params[i]);
+  free (gr->params);
+  free (gr->text);
+  free (gr);
 }
 
 static void
@@ -108,11 +108,11 @@
 static void
 do_promote (void *ctx, unsigned inst, uint64_t term)
 {
-  struct local_gate *row = ctx;
+  struct local_gate *local = ctx;
 
   cfs_log (CFS_NOTICE, PART, "%s: orders %s to lead in term %" PRIu64,
-           row->name, cfs_gate_name (row->gate, inst), term);
-  cfs_pg_promote (row->pg, inst, term);
+           local->name, cfs_gate_name (local->gate, inst), term);
+  cfs_pg_promote (local->pg, inst, term);
 }
 
 static void
@@ -123,30 +123,30 @@
 }
 
 static void
-do_answer (void *ctx, struct cfs_request *r, const struct cfs_gate_reply *v)
+do_reply (void *ctx, struct cfs_request *r, const struct cfs_gate_reply *reply)
 {
-  struct local_gate *row = ctx;
-  struct job *j = r->payload;
+  struct local_gate *local = ctx;
+  struct gate_request *gr = r->payload;
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__Answer a = CFS__ANSWER__INIT;
 
-  a.id = j->id;
-  a.code = v->code;
-  a.outcome = v->outcome;
-  a.body = v->body ? v->body : (char *)"";
-  a.term = v->term;
-  a.position = v->position;
+  a.id = gr->id;
+  a.code = reply->code;
+  a.outcome = reply->outcome;
+  a.body = reply->body ? reply->body : (char *)"";
+  a.term = reply->term;
+  a.position = reply->position;
   a.transaction = r->transaction;
-  a.replica = v->replica;
+  a.replica = reply->replica;
   out.body_case = CFS__PEER__BODY_ANSWER;
   out.answer = &a;
-  cfs_net_reply (row->owner->setup.net, &j->origin, &out);
-  free (v->body);
-  free_request (j);
+  cfs_net_reply (local->owner->setup.net, &gr->origin, &out);
+  free (reply->body);
+  free_request (gr);
 }
 
 static const struct cfs_gate_ops gate_ops
-    = { do_connect, do_close,   do_run,    do_answer,
+    = { do_connect, do_close,   do_run,    do_reply,
         do_probe,   do_promote, do_discard };
 
 struct cfs_gates *
@@ -193,7 +193,7 @@
 make_gate (struct cfs_gates *g, const char *name)
 {
   const struct cfs_settings *s = g->setup.settings;
-  struct local_gate *row = cfs_alloc (sizeof *row);
+  struct local_gate *local = cfs_alloc (sizeof *local);
   struct cfs_pg_setup pg = { .loop = g->setup.loop,
                              .platform = &cfs_platform_sql,
                              .user = s->target_user,
@@ -203,46 +203,48 @@
   uint64_t seed;
 
   randombytes_buf (&seed, sizeof seed);
-  cfs_copy (row->name, sizeof row->name, name);
-  row->owner = g;
-  row->pg = cfs_pg_new (&pg);
-  row->gate = cfs_gate_new (&gate_ops, row, name, &cfs_gate_defaults, seed);
-  cfs_pg_set_gate (row->pg, row->gate);
+  cfs_copy (local->name, sizeof local->name, name);
+  local->owner = g;
+  local->pg = cfs_pg_new (&pg);
+  local->gate
+      = cfs_gate_new (&gate_ops, local, name, &cfs_gate_defaults, seed);
+  cfs_pg_set_gate (local->pg, local->gate);
   cfs_grow (&g->gates, &g->cap, g->count, sizeof *g->gates);
-  g->gates[g->count++] = row;
-  return row;
+  g->gates[g->count++] = local;
+  return local;
 }
 
 static void
-configure_gate (const struct cfs_gates *g, struct local_gate *row)
+configure_gate (const struct cfs_gates *g, struct local_gate *local)
 {
   const struct cfs_group_conf *c = NULL;
 
   if (g->setup.directory->conf)
-    c = cfs_conf_group (g->setup.directory->conf, row->name);
-  cfs_gate_configure (row->gate, c ? c->size : CFS_GROUP_SIZE_DEFAULT,
+    c = cfs_conf_group (g->setup.directory->conf, local->name);
+  cfs_gate_configure (local->gate, c ? c->size : CFS_GROUP_SIZE_DEFAULT,
                       c && c->ack_primary);
 }
 
 static void
-follow_gate (struct cfs_gates *g, const struct cfs_lease *lease, int64_t now)
+apply_gate_lease (struct cfs_gates *g, const struct cfs_lease *lease,
+                  int64_t now)
 {
   const char *name = lease->resource + strlen (GATE_PREFIX);
   bool own = cfs_directory_is_own (g->setup.directory, lease);
-  struct local_gate *row = find_gate (g, name);
+  struct local_gate *local = find_gate (g, name);
   uint64_t epoch = own ? lease->epoch : 0;
 
-  if (!row && !own)
+  if (!local && !own)
     return;
-  if (!row)
-    row = make_gate (g, name);
-  if (cfs_gate_epoch (row->gate) == epoch)
+  if (!local)
+    local = make_gate (g, name);
+  if (cfs_gate_epoch (local->gate) == epoch)
     return;
-  if (own && row->released && row->released_epoch == epoch)
+  if (own && local->released && local->released_epoch == epoch)
     return;
-  row->released = false;
-  configure_gate (g, row);
-  cfs_gate_assign (row->gate, epoch, now);
+  local->released = false;
+  configure_gate (g, local);
+  cfs_gate_assign (local->gate, epoch, now);
   cfs_log (CFS_NOTICE, PART,
            own ? "%s: held in epoch %" PRIu64
                : "%s: given up before epoch %" PRIu64,
@@ -250,28 +252,29 @@
 }
 
 static void
-follow_limit (struct cfs_gates *g, const struct cfs_lease *lease, int64_t now)
+apply_limiter_lease (struct cfs_gates *g, const struct cfs_lease *lease,
+                     int64_t now)
 {
   const char *name = lease->resource + strlen (LIMIT_PREFIX);
   const struct cfs_conf *conf = g->setup.directory->conf;
   const struct cfs_team *team = conf ? cfs_conf_team (conf, name) : NULL;
   bool own = cfs_directory_is_own (g->setup.directory, lease) && team;
-  struct local_limiter *row;
+  struct local_limiter *limiter;
 
   if (!own && !cfs_table_find (&g->limits, name))
     return;
-  row = cfs_table_add (&g->limits, name);
+  limiter = cfs_table_add (&g->limits, name);
   if (!own)
-    row->epoch = 0;
-  else if (row->epoch != lease->epoch)
+    limiter->epoch = 0;
+  else if (limiter->epoch != lease->epoch)
     {
-      row->epoch = lease->epoch;
-      row->released = false;
-      cfs_bucket_init (&row->bucket, team->rate, team->burst,
+      limiter->epoch = lease->epoch;
+      limiter->released = false;
+      cfs_bucket_init (&limiter->bucket, team->rate, team->burst,
                        lease->epoch == 1, now);
     }
   else
-    cfs_bucket_set_rate (&row->bucket, team->rate, team->burst, now);
+    cfs_bucket_set_rate (&limiter->bucket, team->rate, team->burst, now);
 }
 
 void
@@ -285,33 +288,33 @@
       const struct cfs_lease *l = cfs_table_at (&d->leases, i);
 
       if (strncmp (l->resource, GATE_PREFIX, strlen (GATE_PREFIX)) == 0)
-        follow_gate (g, l, now);
+        apply_gate_lease (g, l, now);
       else
-        follow_limit (g, l, now);
+        apply_limiter_lease (g, l, now);
     }
   for (size_t i = 0; i < reply->n_instances; i++)
     cfs_gates_announce (g, reply->instances[i], now);
   for (size_t i = 0; i < g->count; i++)
     {
-      struct local_gate *row = g->gates[i];
-      const struct cfs_group *group = cfs_table_find (&d->groups, row->name);
+      struct local_gate *local = g->gates[i];
+      const struct cfs_group *group = cfs_table_find (&d->groups, local->name);
 
-      configure_gate (g, row);
+      configure_gate (g, local);
       if (group)
-        cfs_gate_set_group (row->gate, group, now);
-      cfs_gate_renew (row->gate, d->lease_until, now);
+        cfs_gate_set_group (local->gate, group, now);
+      cfs_gate_renew (local->gate, d->lease_until, now);
     }
 }
 
 static void
-make_digest (struct job *j, const Cfs__Execute *in)
+make_digest (struct gate_request *gr, const Cfs__Execute *in)
 {
   unsigned char hash[DIGEST_BYTES];
   crypto_generichash_state st;
 
   crypto_generichash_init (&st, NULL, 0, sizeof hash);
-  crypto_generichash_update (&st, (unsigned char *)j->text,
-                             strlen (j->text) + 1);
+  crypto_generichash_update (&st, (unsigned char *)gr->text,
+                             strlen (gr->text) + 1);
   for (size_t i = 0; i < in->n_params; i++)
     {
       const Cfs__Param *p = in->params[i];
@@ -322,29 +325,29 @@
                                  strlen (p->text) + 1);
     }
   crypto_generichash_final (&st, hash, sizeof hash);
-  sodium_bin2hex (j->sql.digest, sizeof j->sql.digest, hash, sizeof hash);
+  sodium_bin2hex (gr->sql.digest, sizeof gr->sql.digest, hash, sizeof hash);
 }
 
-static struct job *
+static struct gate_request *
 make_request (struct cfs_gates *g, const struct cfs_origin *from,
               const Cfs__Execute *in, int64_t now)
 {
-  struct job *j = cfs_alloc (sizeof *j);
-  struct cfs_request *r = &j->request;
+  struct gate_request *gr = cfs_alloc (sizeof *gr);
+  struct cfs_request *r = &gr->request;
 
-  j->gates = g;
-  j->origin = *from;
-  j->id = in->id;
-  j->text = cfs_strdup (in->sql);
-  j->params = cfs_alloc (in->n_params * sizeof *j->params);
+  gr->gates = g;
+  gr->origin = *from;
+  gr->id = in->id;
+  gr->text = cfs_strdup (in->sql);
+  gr->params = cfs_alloc (in->n_params * sizeof *gr->params);
   for (size_t i = 0; i < in->n_params; i++)
-    j->params[i]
+    gr->params[i]
         = in->params[i]->null ? NULL : cfs_strdup (in->params[i]->text);
-  j->sql.text = j->text;
-  j->sql.params = (const char *const *)j->params;
-  j->sql.param_count = (int)in->n_params;
-  make_digest (j, in);
-  r->payload = j;
+  gr->sql.text = gr->text;
+  gr->sql.params = (const char *const *)gr->params;
+  gr->sql.param_count = (int)in->n_params;
+  make_digest (gr, in);
+  r->payload = gr;
   cfs_copy (r->team, sizeof r->team, in->team);
   r->weight = in->weight;
   r->kind = (enum cfs_request_kind)in->kind;
@@ -354,8 +357,8 @@
   r->token_position = in->token_position;
   cfs_copy (r->key, sizeof r->key, in->idempotency_key);
   cfs_copy (r->transaction, sizeof r->transaction, in->transaction);
-  r->once = in->once;
-  return j;
+  r->send_once = in->once;
+  return gr;
 }
 
 static void
@@ -377,39 +380,40 @@
 cfs_gates_execute (struct cfs_gates *g, const struct cfs_origin *from,
                    const Cfs__Execute *in, int64_t now)
 {
-  struct local_gate *row = find_gate (g, in->group);
+  struct local_gate *local = find_gate (g, in->group);
 
   if (in->kind >= CFS_KIND_COUNT || in->n_params > PARAMS_MAX)
     {
       refuse (g, from, in->id, CFS_CODE_BAD_REQUEST);
       return;
     }
-  if (!row || cfs_gate_epoch (row->gate) != in->epoch)
+  if (!local || cfs_gate_epoch (local->gate) != in->epoch)
     {
       refuse (g, from, in->id, CFS_CODE_MOVED);
       return;
     }
-  cfs_gate_submit (row->gate, &make_request (g, from, in, now)->request, now);
+  cfs_gate_submit (local->gate, &make_request (g, from, in, now)->request,
+                   now);
 }
 
 void
 cfs_gates_grant_tokens (struct cfs_gates *g, const struct cfs_origin *from,
                         const Cfs__TokenAsk *in, int64_t now)
 {
-  struct local_limiter *row = cfs_table_find (&g->limits, in->team);
+  struct local_limiter *limiter = cfs_table_find (&g->limits, in->team);
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__TokenGrant grant = CFS__TOKEN_GRANT__INIT;
   int64_t retry = 0;
 
   grant.id = in->id;
   grant.team = in->team;
-  grant.moved = !row || row->released || row->epoch != in->epoch
+  grant.moved = !limiter || limiter->released || limiter->epoch != in->epoch
                 || !cfs_directory_leased (g->setup.directory, now);
   if (!grant.moved)
     {
-      grant.count = cfs_bucket_take (&row->bucket, in->count, now, &retry);
+      grant.count = cfs_bucket_take (&limiter->bucket, in->count, now, &retry);
       grant.retry_us = (uint64_t)retry;
-      row->granted += grant.count;
+      limiter->granted += grant.count;
     }
   out.body_case = CFS__PEER__BODY_GRANT;
   out.grant = &grant;
@@ -419,21 +423,21 @@
 void
 cfs_gates_announce (struct cfs_gates *g, const Cfs__Instance *in, int64_t now)
 {
-  struct local_gate *row = find_gate (g, in->group);
+  struct local_gate *local = find_gate (g, in->group);
 
-  if (row)
-    cfs_gate_update_instance (row->gate, in, now);
+  if (local)
+    cfs_gate_update_instance (local->gate, in, now);
 }
 
 static void
-log_serving (struct local_gate *row, int64_t now)
+log_serving (struct local_gate *local, int64_t now)
 {
-  bool serving = cfs_gate_serving (row->gate, now);
+  bool serving = cfs_gate_serving (local->gate, now);
 
-  if (serving == row->serving)
+  if (serving == local->serving)
     return;
-  row->serving = serving;
-  cfs_log (CFS_NOTICE, PART, "%s: %s", row->name,
+  local->serving = serving;
+  cfs_log (CFS_NOTICE, PART, "%s: %s", local->name,
            serving ? "writes are served" : "writes are held back");
 }
 
@@ -454,19 +458,19 @@
 {
   size_t need = g->count + g->limits.count;
 
-  if (need <= g->room)
+  if (need <= g->report_cap)
     return;
   free (g->reports);
   free (g->report_list);
   free (g->releases);
   free (g->release_list);
   free (g->release_names);
-  g->room = need * 2;
-  g->reports = cfs_alloc (g->room * sizeof *g->reports);
-  g->report_list = cfs_alloc (g->room * sizeof *g->report_list);
-  g->releases = cfs_alloc (g->room * sizeof *g->releases);
-  g->release_list = cfs_alloc (g->room * sizeof *g->release_list);
-  g->release_names = cfs_alloc (g->room * sizeof *g->release_names);
+  g->report_cap = need * 2;
+  g->reports = cfs_alloc (g->report_cap * sizeof *g->reports);
+  g->report_list = cfs_alloc (g->report_cap * sizeof *g->report_list);
+  g->releases = cfs_alloc (g->report_cap * sizeof *g->releases);
+  g->release_list = cfs_alloc (g->report_cap * sizeof *g->release_list);
+  g->release_names = cfs_alloc (g->report_cap * sizeof *g->release_names);
 }
 
 static void
@@ -484,21 +488,21 @@
 }
 
 static void
-report_gate (struct cfs_gates *g, struct local_gate *row, bool drain,
+report_gate (struct cfs_gates *g, struct local_gate *local, bool drain,
              Cfs__Heartbeat *out, int64_t now)
 {
-  uint64_t epoch = cfs_gate_epoch (row->gate);
+  uint64_t epoch = cfs_gate_epoch (local->gate);
 
-  if (epoch && drain && cfs_gate_drain (row->gate, now))
+  if (epoch && drain && cfs_gate_drain (local->gate, now))
     {
-      row->released = true;
-      row->released_epoch = epoch;
-      cfs_gate_assign (row->gate, 0, now);
-      cfs_log (CFS_NOTICE, PART, "%s: released", row->name);
+      local->released = true;
+      local->released_epoch = epoch;
+      cfs_gate_assign (local->gate, 0, now);
+      cfs_log (CFS_NOTICE, PART, "%s: released", local->name);
     }
-  if (row->released)
-    add_release (g, GATE_PREFIX, row->name, row->released_epoch, out);
-  else if (epoch && cfs_gate_report (row->gate, &g->reports[out->n_reports]))
+  if (local->released)
+    add_release (g, GATE_PREFIX, local->name, local->released_epoch, out);
+  else if (epoch && cfs_gate_report (local->gate, &g->reports[out->n_reports]))
     {
       g->report_list[out->n_reports] = &g->reports[out->n_reports];
       out->n_reports++;
@@ -514,12 +518,12 @@
     report_gate (g, g->gates[i], drain, out, now);
   for (size_t i = 0; i < g->limits.count; i++)
     {
-      struct local_limiter *row = cfs_table_at (&g->limits, i);
+      struct local_limiter *limiter = cfs_table_at (&g->limits, i);
 
-      if (!drain || row->epoch == 0)
+      if (!drain || limiter->epoch == 0)
         continue;
-      row->released = true;
-      add_release (g, LIMIT_PREFIX, row->name, row->epoch, out);
+      limiter->released = true;
+      add_release (g, LIMIT_PREFIX, limiter->name, limiter->epoch, out);
     }
   out->reports = g->report_list;
   out->released = g->release_list;
@@ -558,15 +562,15 @@
           "coltsfootstage_gate_connects_total{group=\"%s\"} %" PRIu64 "\n"
           "coltsfootstage_gate_promotions_total{group=\"%s\"} %" PRIu64 "\n",
           n, cfs_gate_serving (g->gates[i]->gate, now), n, s->reads_replica, n,
-          s->reads_primary, n, s->writes, n, s->asked, n, s->sent, n,
+          s->reads_primary, n, s->writes, n, s->submitted, n, s->sent, n,
           s->retries, n, s->refused, n, s->connects, n, s->promotions);
     }
   for (size_t i = 0; i < g->limits.count; i++)
     {
-      const struct local_limiter *row = cfs_table_at (&g->limits, i);
+      const struct local_limiter *limiter = cfs_table_at (&g->limits, i);
 
       g_string_append_printf (
           out, "coltsfootstage_limit_granted_total{team=\"%s\"} %" PRIu64 "\n",
-          row->name, row->granted);
+          limiter->name, limiter->granted);
     }
 }
--- a/src/request/limit.c
+++ b/src/request/limit.c
@@ -11,8 +11,8 @@
 static double
 capacity (const struct cfs_bucket *b)
 {
-  double held = b->rate * (double)GRANT_LIFE_US / CFS_US_PER_S;
-  double room = b->burst - held;
+  double reserved = b->rate * (double)GRANT_LIFE_US / CFS_US_PER_S;
+  double room = b->burst - reserved;
 
   return room > 0 ? room : 0;
 }
--- a/src/request/operate.c
+++ b/src/request/operate.c
@@ -17,7 +17,7 @@
 #define HTTP_OK 200
 #define HTTP_PRECONDITION_REQUIRED 428
 #define HTTP_METHOD 405
-#define END_ROW                                                               \
+#define END_FIELD                                                             \
   {                                                                           \
     NULL, FIELD_BOOL, 0, 0, NULL, false, NULL                                 \
   }
@@ -34,7 +34,7 @@
         { "role", FIELD_NAME, 1, 16, NULL, true, NULL },
         { "position", FIELD_INTEGER, 0, 9e15, NULL, true, NULL },
         { "leaving", FIELD_BOOL, 0, 0, NULL, false, NULL },
-        END_ROW };
+        END_FIELD };
 
 static bool
 key_matches (const char *bearer, const unsigned char *expected)
@@ -84,7 +84,8 @@
 static void
 send_to_control (struct cfs_entry *e, const Cfs__Instance *in, int64_t now)
 {
-  struct sent_announcement *row = cfs_table_add (&e->announced, in->name);
+  struct sent_announcement *row
+      = cfs_table_add (&e->sent_announcements, in->name);
   uint64_t digest = digest_of (in);
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__Heartbeat h = CFS__HEARTBEAT__INIT;
@@ -157,8 +158,8 @@
 }
 
 static void
-forward (struct cfs_entry *e, struct cfs_http_request *call,
-         enum cfs_operator_kind kind, uint64_t version)
+forward_to_control (struct cfs_entry *e, struct cfs_http_request *call,
+                    enum cfs_operator_kind kind, uint64_t version)
 {
   const char *request_id = cfs_http_request_header (call, "Request-Id");
   const char *who = cfs_http_request_header (call, "Operator");
@@ -167,8 +168,9 @@
   struct operator_request *row;
   char own_id[24];
 
-  cfs_grow (&e->calls, &e->call_cap, e->call_count, sizeof *e->calls);
-  row = &e->calls[e->call_count++];
+  cfs_grow (&e->operator_requests, &e->operator_request_cap,
+            e->operator_request_count, sizeof *e->operator_requests);
+  row = &e->operator_requests[e->operator_request_count++];
   row->id = entry_id (e);
   row->call = call;
   g_snprintf (own_id, sizeof own_id, "%" PRIx64, row->id);
@@ -194,7 +196,7 @@
 
   if (strcmp (method, "GET") == 0)
     {
-      forward (e, call, OPERATOR_CONFIG, 0);
+      forward_to_control (e, call, OPERATOR_CONFIG, 0);
       return;
     }
   if (strcmp (method, "PATCH") != 0)
@@ -211,7 +213,7 @@
     }
   doc = cfs_json_parse (cfs_http_request_body (call), "patch", &error);
   if (doc)
-    forward (e, call, OPERATOR_PATCH, version);
+    forward_to_control (e, call, OPERATOR_PATCH, version);
   else
     entry_problem (e, call, CFS_CODE_BAD_REQUEST, CFS_NOT_RUN, error->message);
   g_clear_error (&error);
@@ -220,9 +222,9 @@
 
 void
 operator_handle (struct cfs_entry *e, struct cfs_http_request *call,
-                 const char *what)
+                 const char *resource)
 {
-  if (strcmp (what, "announce") == 0)
+  if (strcmp (resource, "announce") == 0)
     {
       handle_announcement (e, call);
       return;
@@ -230,9 +232,9 @@
   if (!key_matches (entry_bearer (call), e->setup.settings->operator_hash))
     entry_problem (e, call, CFS_CODE_UNAUTHENTICATED, CFS_NOT_RUN,
                    "not the key of operators");
-  else if (strcmp (what, "config") == 0)
+  else if (strcmp (resource, "config") == 0)
     config_request (e, call);
-  else if (strcmp (what, "drain") == 0)
+  else if (strcmp (resource, "drain") == 0)
     {
       struct cfs_http_response ok = { .status = HTTP_OK, .body = "{}" };
 
@@ -240,9 +242,9 @@
       cfs_http_respond (call, &ok);
     }
   else
-    forward (e, call,
-             strcmp (what, "audit") == 0 ? OPERATOR_AUDIT : OPERATOR_STATUS,
-             0);
+    forward_to_control (
+        e, call,
+        strcmp (resource, "audit") == 0 ? OPERATOR_AUDIT : OPERATOR_STATUS, 0);
 }
 
 void
@@ -253,11 +255,12 @@
 
   g_snprintf (etag, sizeof etag, "\"%" PRIu64 "\"", in->version);
   a.etag = etag;
-  for (size_t i = 0; i < e->call_count; i++)
-    if (e->calls[i].id == in->id)
+  for (size_t i = 0; i < e->operator_request_count; i++)
+    if (e->operator_requests[i].id == in->id)
       {
-        cfs_http_respond (e->calls[i].call, &a);
-        e->calls[i] = e->calls[--e->call_count];
+        cfs_http_respond (e->operator_requests[i].call, &a);
+        e->operator_requests[i]
+            = e->operator_requests[--e->operator_request_count];
         return;
       }
 }
--- a/src/request/promote.c
+++ b/src/request/promote.c
@@ -75,9 +75,10 @@
   if (in->leaving
       && now - in->leaving_since > g->tuning.primary_leave_timeout_us)
     return true;
-  if (in->leaving && in->running + in->pinned + g->pending_ack_count == 0)
+  if (in->leaving
+      && in->running + in->pinned_conns + g->pending_ack_count == 0)
     return true;
-  if (in->last_probe_sent_at > g->phase_since
+  if (in->answered_probe_sent_at > g->phase_since
       && (in->term != g->group.term || !in->primary))
     return true;
   return primary_unresponsive (g, (unsigned)primary, now)
@@ -103,8 +104,8 @@
 
 /* Whether a holds more than b; of two equal ones, whether a is better. */
 static bool
-further (const struct cfs_gate *g, const struct gate_instance *a,
-         const struct gate_instance *b)
+preferred_over (const struct cfs_gate *g, const struct gate_instance *a,
+                const struct gate_instance *b)
 {
   uint64_t x = shared_position (g, a);
   uint64_t y = shared_position (g, b);
@@ -121,61 +122,62 @@
    majority; so it is on one of any n - majority + 1 instances.  The former
    primary is taken again only when too few others have answered in time. */
 static int
-choose (const struct cfs_gate *g, int64_t now)
+select_candidate (const struct cfs_gate *g, int64_t now)
 {
   int primary = gate_primary (g);
   int best = -1;
   int best_any = -1;
-  unsigned heard = 0;
+  unsigned answered = 0;
   unsigned answered_others = 0;
 
   for (unsigned i = 0; i < g->inst_count; i++)
     {
       const struct gate_instance *in = &g->inst[i];
 
-      if (in->last_probe_sent_at < g->phase_since
+      if (in->answered_probe_sent_at < g->phase_since
           || in->last_probe_reply_at < g->phase_since)
         continue;
-      heard++;
-      if (best_any < 0 || further (g, in, &g->inst[best_any]))
+      answered++;
+      if (best_any < 0 || preferred_over (g, in, &g->inst[best_any]))
         best_any = (int)i;
       if ((int)i == primary)
         continue;
       answered_others++;
-      if (best < 0 || further (g, in, &g->inst[best]))
+      if (best < 0 || preferred_over (g, in, &g->inst[best]))
         best = (int)i;
     }
   if (answered_others > g->size - gate_majority (g) && best >= 0)
     return best;
   if (now - g->phase_since < g->tuning.former_primary_wait_us)
     return -1;
-  return heard >= gate_majority (g) ? best_any : -1;
+  return answered >= gate_majority (g) ? best_any : -1;
 }
 
 static void
 start_promotion (struct cfs_gate *g, int64_t now)
 {
-  int best = choose (g, now);
+  int best = select_candidate (g, now);
 
   if (best < 0)
     return;
-  g->chosen = (unsigned)best;
-  g->kept = shared_position (g, &g->inst[best]);
+  g->candidate = (unsigned)best;
+  g->candidate_position = shared_position (g, &g->inst[best]);
   g->candidate_current = g->inst[best].term == g->group.term;
   g->used_term = g->group.granted_term;
   promote_set_phase (g, PHASE_PROMOTING, now);
-  g->ops->promote (g->ctx, g->chosen, g->group.granted_term);
+  g->ops->promote (g->ctx, g->candidate, g->group.granted_term);
 }
 
 static void
 check_promotion (struct cfs_gate *g, int64_t now)
 {
-  const struct gate_instance *in = &g->inst[g->chosen];
+  const struct gate_instance *in = &g->inst[g->candidate];
 
   if (in->primary && in->term == g->group.granted_term
-      && in->last_probe_sent_at >= g->phase_since)
+      && in->answered_probe_sent_at >= g->phase_since)
     {
-      g->promoted_start = g->candidate_current ? in->start : g->kept;
+      g->promoted_start
+          = g->candidate_current ? in->start : g->candidate_position;
       g->stats.promotions++;
       promote_set_phase (g, PHASE_CONFIRMING, now);
       return;
--- a/src/request/quota.c
+++ b/src/request/quota.c
@@ -19,9 +19,9 @@
 /* An ask without an answer is given up after this time. */
 #define REPLY_TIMEOUT_US (120 * CFS_US_PER_MS)
 /* Pause after an ask that was not granted in full. */
-#define DENIED_US (60 * CFS_US_PER_MS)
+#define DENIAL_PAUSE_US (60 * CFS_US_PER_MS)
 /* No tokens are asked for ahead for this time after one was denied. */
-#define PRESSED_US (2 * CFS_US_PER_S)
+#define PREFETCH_PAUSE_US (2 * CFS_US_PER_S)
 /* An operation waits for a token of the share that comes within this time. */
 #define SHARE_WAIT_MAX_US (120 * CFS_US_PER_MS)
 /* Least depth of a bucket with a share, or no operation would ever pass. */
@@ -30,7 +30,7 @@
 void
 cfs_quota_init (struct cfs_quota *q, int64_t now)
 {
-  cfs_table_init (&q->rows, sizeof (struct cfs_quota_team));
+  cfs_table_init (&q->teams, sizeof (struct cfs_quota_team));
   q->until = 0;
   q->used_at = now;
 }
@@ -38,17 +38,17 @@
 void
 cfs_quota_end (struct cfs_quota *q)
 {
-  cfs_table_end (&q->rows);
+  cfs_table_end (&q->teams);
 }
 
 static void
-refill (struct cfs_quota_team *r, int64_t now)
+refill (struct cfs_quota_team *t, int64_t now)
 {
-  if (now > r->filled_at)
-    r->level += r->share * (double)(now - r->filled_at) / CFS_US_PER_S;
-  r->filled_at = now;
-  if (r->level > r->depth)
-    r->level = r->depth;
+  if (now > t->filled_at)
+    t->level += t->share * (double)(now - t->filled_at) / CFS_US_PER_S;
+  t->filled_at = now;
+  if (t->level > t->capacity)
+    t->level = t->capacity;
 }
 
 static const Cfs__TeamShare *
@@ -61,21 +61,21 @@
 }
 
 static void
-set_share (struct cfs_quota_team *r, const Cfs__TeamShare *in,
+set_share (struct cfs_quota_team *t, const Cfs__TeamShare *in,
            const struct cfs_team_limits *team, int64_t now)
 {
-  refill (r, now);
-  r->known = in && in->known;
-  r->share = 0;
-  r->depth = 0;
+  refill (t, now);
+  t->authoritative = in && in->known;
+  t->share = 0;
+  t->capacity = 0;
   if (in && team && team->rate > 0 && in->share > 0)
     {
-      r->share = in->share;
-      r->depth = team->burst * r->share / team->rate;
-      if (r->depth < CAPACITY_MIN)
-        r->depth = CAPACITY_MIN;
+      t->share = in->share;
+      t->capacity = team->burst * t->share / team->rate;
+      if (t->capacity < CAPACITY_MIN)
+        t->capacity = CAPACITY_MIN;
     }
-  refill (r, now);
+  refill (t, now);
 }
 
 void
@@ -84,13 +84,13 @@
                   int64_t until, int64_t now)
 {
   for (size_t i = 0; i < count; i++)
-    cfs_table_add (&q->rows, shares[i]->team);
-  for (size_t i = 0; i < q->rows.count; i++)
+    cfs_table_add (&q->teams, shares[i]->team);
+  for (size_t i = 0; i < q->teams.count; i++)
     {
-      struct cfs_quota_team *r = cfs_table_at (&q->rows, i);
+      struct cfs_quota_team *t = cfs_table_at (&q->teams, i);
 
-      set_share (r, find_share (shares, count, r->team),
-                 cfs_catalog_team (catalog, r->team), now);
+      set_share (t, find_share (shares, count, t->team),
+                 cfs_catalog_team (catalog, t->team), now);
     }
   cfs_quota_renew (q, until);
 }
@@ -104,50 +104,50 @@
 
 /* Closes spans that are over. */
 static void
-count_spans (struct cfs_quota_team *r, int64_t now)
+close_demand_span (struct cfs_quota_team *t, int64_t now)
 {
   double rate;
 
-  if (now - r->counted_at < DEMAND_SPAN_US)
+  if (now - t->counted_at < DEMAND_SPAN_US)
     return;
-  rate = r->asked * CFS_US_PER_S / (double)(now - r->counted_at);
-  if (rate >= r->demand)
-    r->demand = rate;
+  rate = t->span_ops * CFS_US_PER_S / (double)(now - t->counted_at);
+  if (rate >= t->demand)
+    t->demand = rate;
   else
-    r->demand += (rate - r->demand) * DEMAND_DECAY;
-  r->asked = 0;
-  r->counted_at = now;
+    t->demand += (rate - t->demand) * DEMAND_DECAY;
+  t->span_ops = 0;
+  t->counted_at = now;
 }
 
 void
 cfs_quota_count_demand (struct cfs_quota *q, const char *team, int64_t now)
 {
-  struct cfs_quota_team *r = cfs_table_add (&q->rows, team);
+  struct cfs_quota_team *t = cfs_table_add (&q->teams, team);
 
-  if (!r->counted_at)
-    r->counted_at = now - DEMAND_SPAN_US / 2;
-  count_spans (r, now);
-  r->asked++;
+  if (!t->counted_at)
+    t->counted_at = now - DEMAND_SPAN_US / 2;
+  close_demand_span (t, now);
+  t->span_ops++;
 }
 
 static uint32_t
-tokens_held (const struct cfs_quota_team *r, int64_t now)
+tokens_available (const struct cfs_quota_team *t, int64_t now)
 {
-  uint32_t held = 0;
+  uint32_t available = 0;
 
   for (size_t i = 0; i < QUOTA_GRANTS_MAX; i++)
-    if (now < r->grants[i].until)
-      held += r->grants[i].count;
-  return held;
+    if (now < t->grants[i].until)
+      available += t->grants[i].count;
+  return available;
 }
 
 static bool
-take_token (struct cfs_quota_team *r, int64_t now)
+take_token (struct cfs_quota_team *t, int64_t now)
 {
   for (size_t i = 0; i < QUOTA_GRANTS_MAX; i++)
-    if (r->grants[i].count && now < r->grants[i].until)
+    if (t->grants[i].count && now < t->grants[i].until)
       {
-        r->grants[i].count--;
+        t->grants[i].count--;
         return true;
       }
   return false;
@@ -157,26 +157,26 @@
 cfs_quota_take (struct cfs_quota *q, const char *team, int64_t now,
                 int64_t *wait_us)
 {
-  struct cfs_quota_team *r = cfs_table_add (&q->rows, team);
+  struct cfs_quota_team *t = cfs_table_add (&q->teams, team);
 
   *wait_us = CFS_NEVER;
-  if (take_token (r, now))
+  if (take_token (t, now))
     {
       q->used_at = now;
-      r->granted++;
+      t->granted++;
       return true;
     }
-  if (now >= q->until || r->share <= 0)
+  if (now >= q->until || t->share <= 0)
     return false;
-  refill (r, now);
-  if (r->level < 1)
+  refill (t, now);
+  if (t->level < 1)
     {
-      *wait_us = (int64_t)((1 - r->level) / r->share * CFS_US_PER_S) + 1;
+      *wait_us = (int64_t)((1 - t->level) / t->share * CFS_US_PER_S) + 1;
       return false;
     }
-  r->level -= 1;
+  t->level -= 1;
   q->used_at = now;
-  r->granted++;
+  t->granted++;
   return true;
 }
 
@@ -184,47 +184,47 @@
 cfs_quota_denied (struct cfs_quota *q, const char *team, int64_t since,
                   int64_t now)
 {
-  struct cfs_quota_team *r = cfs_table_find (&q->rows, team);
+  struct cfs_quota_team *t = cfs_table_find (&q->teams, team);
 
-  if (!r || !r->known || r->denied_at <= since)
+  if (!t || !t->authoritative || t->denied_at <= since)
     return false;
-  if (now >= q->until || r->share <= 0)
+  if (now >= q->until || t->share <= 0)
     return true;
-  refill (r, now);
-  return (r->waiting - r->level) / r->share * CFS_US_PER_S > SHARE_WAIT_MAX_US;
+  refill (t, now);
+  return (t->waiting - t->level) / t->share * CFS_US_PER_S > SHARE_WAIT_MAX_US;
 }
 
 void
 cfs_quota_count_waiting (struct cfs_quota *q, const char *team, bool starts)
 {
-  struct cfs_quota_team *r = cfs_table_add (&q->rows, team);
+  struct cfs_quota_team *t = cfs_table_add (&q->teams, team);
 
   if (starts)
-    r->waiting++;
-  else if (r->waiting)
-    r->waiting--;
+    t->waiting++;
+  else if (t->waiting)
+    t->waiting--;
 }
 
 uint32_t
-cfs_quota_tokens_to_request (struct cfs_quota_team *r, int64_t now)
+cfs_quota_tokens_to_request (struct cfs_quota_team *t, int64_t now)
 {
-  double ahead = (cfs_quota_demand (r, now) - r->share) * (double)PREFETCH_US
+  double ahead = (cfs_quota_demand (t, now) - t->share) * (double)PREFETCH_US
                  / CFS_US_PER_S;
-  uint32_t want = r->waiting;
+  uint32_t want = t->waiting;
   uint32_t have;
 
-  if (now < r->ask_after)
+  if (now < t->next_request_at)
     return 0;
-  if (now >= r->outstanding_until)
-    r->due = 0;
-  if (want && ahead >= 1 && now - r->denied_at > PRESSED_US)
+  if (now >= t->outstanding_until)
+    t->outstanding = 0;
+  if (want && ahead >= 1 && now - t->denied_at > PREFETCH_PAUSE_US)
     want += (uint32_t)ahead;
-  have = r->due + tokens_held (r, now);
+  have = t->outstanding + tokens_available (t, now);
   if (want <= have)
     return 0;
   want -= have;
-  r->due += want;
-  r->outstanding_until = now + REPLY_TIMEOUT_US;
+  t->outstanding += want;
+  t->outstanding_until = now + REPLY_TIMEOUT_US;
   return want;
 }
 
@@ -232,27 +232,28 @@
 cfs_quota_add_tokens (struct cfs_quota *q, const char *team,
                       const struct cfs_quota_token_reply *a)
 {
-  struct cfs_quota_team *r = cfs_table_add (&q->rows, team);
-  struct cfs_quota_grant *g = &r->grants[r->next_grant];
+  struct cfs_quota_team *t = cfs_table_add (&q->teams, team);
+  struct cfs_quota_grant *g = &t->grants[t->next_grant];
 
-  r->due -= a->asked < r->due ? a->asked : r->due;
-  if (a->count < a->asked)
-    r->ask_after = a->sent_at + DENIED_US;
-  if (a->known && a->count < a->asked
-      && tokens_held (r, a->sent_at) + a->count < r->waiting)
-    r->denied_at = a->sent_at;
+  t->outstanding
+      -= a->requested < t->outstanding ? a->requested : t->outstanding;
+  if (a->count < a->requested)
+    t->next_request_at = a->sent_at + DENIAL_PAUSE_US;
+  if (a->authoritative && a->count < a->requested
+      && tokens_available (t, a->sent_at) + a->count < t->waiting)
+    t->denied_at = a->sent_at;
   if (a->count == 0)
     return;
   g->count = a->count;
   g->until = a->sent_at + TOKEN_LIFE_US;
-  r->next_grant = (r->next_grant + 1) % QUOTA_GRANTS_MAX;
+  t->next_grant = (t->next_grant + 1) % QUOTA_GRANTS_MAX;
 }
 
 double
-cfs_quota_demand (const struct cfs_quota_team *row, int64_t now)
+cfs_quota_demand (const struct cfs_quota_team *team, int64_t now)
 {
-  struct cfs_quota_team r = *row;
+  struct cfs_quota_team t = *team;
 
-  count_spans (&r, now);
-  return r.demand;
+  close_demand_span (&t, now);
+  return t.demand;
 }
--- a/src/request/quota.h
+++ b/src/request/quota.h
@@ -31,20 +31,20 @@
 {
   char team[CFS_NAME_MAX];
   double share;
-  bool known;
-  double depth;
+  bool authoritative;
+  double capacity;
   double level;
   int64_t filled_at;
-  double asked;
+  double span_ops;
   double demand;
   int64_t counted_at;
   struct cfs_quota_grant grants[QUOTA_GRANTS_MAX];
   size_t next_grant;
   uint32_t waiting;
-  uint32_t due;
+  uint32_t outstanding;
   int64_t outstanding_until;
   int64_t denied_at;
-  int64_t ask_after;
+  int64_t next_request_at;
   uint64_t granted;
   uint64_t refused;
 };
@@ -55,7 +55,7 @@
  */
 struct cfs_quota
 {
-  struct cfs_table rows;
+  struct cfs_table teams;
   int64_t until;
   int64_t used_at;
 };
@@ -114,7 +114,8 @@
  * What is returned counts as asked for, until it is granted or the answer
  * does not come.
  */
-uint32_t cfs_quota_tokens_to_request (struct cfs_quota_team *row, int64_t now);
+uint32_t cfs_quota_tokens_to_request (struct cfs_quota_team *team,
+                                      int64_t now);
 
 /**
  * struct cfs_quota_token_reply - the control leader's answer to one question
@@ -125,9 +126,9 @@
  */
 struct cfs_quota_token_reply
 {
-  uint32_t asked;
+  uint32_t requested;
   uint32_t count;
-  bool known;
+  bool authoritative;
   int64_t sent_at;
 };
 
@@ -140,6 +141,6 @@
  *
  * An average over about a second that rises at once and falls slowly.
  */
-double cfs_quota_demand (const struct cfs_quota_team *row, int64_t now);
+double cfs_quota_demand (const struct cfs_quota_team *team, int64_t now);
 
 #endif
--- a/src/request/request.h
+++ b/src/request/request.h
@@ -68,8 +68,8 @@
   uint64_t token_position;
   char key[CFS_KEY_MAX];
   char transaction[CFS_TRANSACTION_MAX];
-  bool once;
-  bool unsure;
+  bool send_once;
+  bool maybe_applied;
   unsigned attempts;
   int64_t not_before;
   int64_t estimate_us;
--- a/src/request/route.c
+++ b/src/request/route.c
@@ -8,11 +8,11 @@
 #include "gate_int.h"
 
 void
-route_add_sample (struct cfs_gate *g, uint64_t position, int64_t at)
+route_add_sample (struct cfs_gate *g, uint64_t position, int64_t idx)
 {
   struct primary_sample *s = &g->samples[g->sample_next];
 
-  s->at = at;
+  s->at = idx;
   s->position = position;
   g->sample_next = (g->sample_next + 1) % ROUTE_SAMPLES;
   if (g->sample_count < ROUTE_SAMPLES)
@@ -35,17 +35,18 @@
 {
   for (size_t i = 0; i < g->sample_count; i++)
     {
-      size_t at = (g->sample_next + ROUTE_SAMPLES - g->sample_count + i)
-                  % ROUTE_SAMPLES;
+      size_t idx = (g->sample_next + ROUTE_SAMPLES - g->sample_count + i)
+                   % ROUTE_SAMPLES;
 
-      if (now - g->samples[at].at <= max_age_us)
-        return position >= g->samples[at].position;
+      if (now - g->samples[idx].at <= max_age_us)
+        return position >= g->samples[idx].position;
     }
   return false;
 }
 
 enum route_token
-route_token (const struct cfs_group *group, uint64_t term, uint64_t position)
+route_check_token (const struct cfs_group *group, uint64_t term,
+                   uint64_t position)
 {
   if (term == 0 || term == group->term)
     return TOKEN_VALID;
@@ -62,16 +63,17 @@
 /* Whether an instance holds a part of the present history and nothing else:
    also one that has yet to hear of the present term. */
 static bool
-on_line (const struct cfs_gate *g, const struct gate_instance *in)
+on_current_history (const struct cfs_gate *g, const struct gate_instance *in)
 {
   return in->term != 0
-         && route_token (&g->group, in->term, in->position) == TOKEN_VALID;
+         && route_check_token (&g->group, in->term, in->position)
+                == TOKEN_VALID;
 }
 
 static bool
 usable (const struct cfs_gate *g, const struct gate_instance *in, int64_t now)
 {
-  return !in->leaving && on_line (g, in)
+  return !in->leaving && on_current_history (g, in)
          && now - in->last_probe_reply_at < g->tuning.reachable_timeout_us;
 }
 
@@ -119,7 +121,8 @@
   int best;
   int64_t wait = g->tuning.wait_for_replica ? g->tuning.replica_wait_us : 0;
 
-  if (route_token (&g->group, r->token_term, r->token_position) != TOKEN_VALID)
+  if (route_check_token (&g->group, r->token_term, r->token_position)
+      != TOKEN_VALID)
     return -1;
   best = least_loaded (g, r, now, &exists);
   if (best >= 0)
--- a/src/request/statement.c
+++ b/src/request/statement.c
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define END_ROW                                                               \
+#define END_FIELD                                                             \
   {                                                                           \
     NULL, FIELD_BOOL, 0, 0, NULL, false, NULL                                 \
   }
@@ -22,40 +22,40 @@
         { "max_age_ms", FIELD_INTEGER, 0, 3600000, "ms", false, NULL },
         { "deadline_ms", FIELD_INTEGER, 1, DEADLINE_MAX_MS, "ms", false,
           NULL },
-        END_ROW };
+        END_FIELD };
 
-static const struct cfs_field plain_fields[]
+static const struct cfs_field deadline_fields[]
     = { { "deadline_ms", FIELD_INTEGER, 1, DEADLINE_MAX_MS, "ms", false,
           NULL },
-        END_ROW };
+        END_FIELD };
 
 static struct entry_request *
-new_job (struct cfs_entry *e, struct cfs_http_request *call,
-         enum cfs_request_kind kind, const char *group)
+new_request (struct cfs_entry *e, struct cfs_http_request *call,
+             enum cfs_request_kind kind, const char *group)
 {
-  struct entry_request *j = cfs_alloc (sizeof *j);
-
-  j->entry = e;
-  j->call = call;
-  j->request.kind = kind;
-  j->request.payload = j;
-  cfs_copy (j->group, sizeof j->group, group);
-  return j;
+  struct entry_request *er = cfs_alloc (sizeof *er);
+
+  er->entry = e;
+  er->call = call;
+  er->request.kind = kind;
+  er->request.payload = er;
+  cfs_copy (er->group, sizeof er->group, group);
+  return er;
 }
 
 /* Answers a job that never entered the list of open ones. */
 static void
-reject (struct entry_request *j, enum cfs_code code, const char *detail)
+reject (struct entry_request *er, enum cfs_code code, const char *detail)
 {
-  entry_problem (j->entry, j->call, code, CFS_NOT_RUN, detail);
-  j->call = NULL;
-  entry_free_request (j);
+  entry_problem (er->entry, er->call, code, CFS_NOT_RUN, detail);
+  er->call = NULL;
+  entry_free_request (er);
 }
 
 static bool
-add_param (struct entry_request *j, const cJSON *item)
+add_param (struct entry_request *er, const cJSON *item)
 {
-  Cfs__Param *p = &j->params[j->param_count];
+  Cfs__Param *p = &er->params[er->param_count];
   char *text = NULL;
 
   cfs__param__init (p);
@@ -69,12 +69,12 @@
     return false;
   if (text)
     p->text = text;
-  j->param_list[j->param_count++] = p;
+  er->param_list[er->param_count++] = p;
   return true;
 }
 
 static bool
-read_params (struct entry_request *j, const cJSON *doc)
+read_params (struct entry_request *er, const cJSON *doc)
 {
   const cJSON *list = cJSON_GetObjectItemCaseSensitive (doc, "params");
   const cJSON *item;
@@ -83,21 +83,21 @@
     return true;
   if (!cJSON_IsArray (list) || cJSON_GetArraySize (list) > ENTRY_PARAMS_MAX)
     return false;
-  j->params = cfs_alloc (ENTRY_PARAMS_MAX * sizeof *j->params);
-  j->param_list = cfs_alloc (ENTRY_PARAMS_MAX * sizeof *j->param_list);
-  cJSON_ArrayForEach (item, list) if (!add_param (j, item)) return false;
+  er->params = cfs_alloc (ENTRY_PARAMS_MAX * sizeof *er->params);
+  er->param_list = cfs_alloc (ENTRY_PARAMS_MAX * sizeof *er->param_list);
+  cJSON_ArrayForEach (item, list) if (!add_param (er, item)) return false;
   return true;
 }
 
 static bool
-read_mode (struct entry_request *j, const cJSON *doc)
+read_mode (struct entry_request *er, const cJSON *doc)
 {
   const char *mode = cfs_json_string (doc, "mode", "write");
 
-  if (j->request.kind == CFS_STATEMENT)
+  if (er->request.kind == CFS_STATEMENT)
     return true;
   if (strcmp (mode, "read") == 0)
-    j->request.kind = CFS_READ;
+    er->request.kind = CFS_READ;
   else if (strcmp (mode, "write") != 0)
     return false;
   return true;
@@ -106,35 +106,36 @@
 /* Reads the body into the job.  Returns the deadline, or 0 after it has
    rejected the job. */
 static int64_t
-read_body (struct entry_request *j, const struct cfs_field *fields)
+read_body (struct entry_request *er, const struct cfs_field *fields)
 {
-  const char *text = cfs_http_request_body (j->call);
+  const char *text = cfs_http_request_body (er->call);
   GError *error = NULL;
   cJSON *doc = cfs_json_parse (*text ? text : "{}", "body", &error);
   int64_t deadline = 0;
-  const char *what = NULL;
+  const char *problem = NULL;
 
   if (!doc || !cfs_schema_check (doc, fields, "body", &error))
-    what = error->message;
+    problem = error->message;
   else if (fields == statement_fields)
     {
       if (!cfs_sql_allowed (cfs_json_string (doc, "sql", "")))
-        what = "body: sql: this kind of statement may not run here";
-      else if (!read_params (j, doc))
-        what = "body: params: allowed is a list of at most 64 texts, numbers, "
-               "booleans and nulls";
-      else if (!read_mode (j, doc))
-        what = "body: mode: allowed is read or write";
-      j->sql = cfs_strdup (cfs_json_string (doc, "sql", ""));
-      j->request.max_age_us
+        problem = "body: sql: this kind of statement may not run here";
+      else if (!read_params (er, doc))
+        problem
+            = "body: params: allowed is a list of at most 64 texts, numbers, "
+              "booleans and nulls";
+      else if (!read_mode (er, doc))
+        problem = "body: mode: allowed is read or write";
+      er->sql = cfs_strdup (cfs_json_string (doc, "sql", ""));
+      er->request.max_age_us
           = (int64_t)cfs_json_number (doc, "max_age_ms", MAX_AGE_DEFAULT_MS)
             * CFS_US_PER_MS;
     }
-  if (!what)
+  if (!problem)
     deadline
         = (int64_t)cfs_json_number (doc, "deadline_ms", DEADLINE_DEFAULT_MS);
   else
-    reject (j, CFS_CODE_BAD_REQUEST, what);
+    reject (er, CFS_CODE_BAD_REQUEST, problem);
   g_clear_error (&error);
   cJSON_Delete (doc);
   return deadline;
@@ -155,65 +156,65 @@
 
 /* Reads the headers that say how often a write may run. */
 static bool
-read_repeat (struct entry_request *j)
+read_resend_headers (struct entry_request *er)
 {
-  const char *key = cfs_http_request_header (j->call, "Idempotency-Key");
-  const char *repeatable = cfs_http_request_header (j->call, "Repeatable");
+  const char *key = cfs_http_request_header (er->call, "Idempotency-Key");
+  const char *repeatable = cfs_http_request_header (er->call, "Repeatable");
 
   if (repeatable && strcasecmp (repeatable, "no") == 0)
-    j->request.once = true;
+    er->request.send_once = true;
   else if (repeatable && strcasecmp (repeatable, "yes") != 0)
     return false;
-  if (!key || j->request.kind != CFS_WRITE)
+  if (!key || er->request.kind != CFS_WRITE)
     return true;
-  cfs_copy (j->request.key, sizeof j->request.key, key);
+  cfs_copy (er->request.key, sizeof er->request.key, key);
   return is_printable (key, CFS_KEY_MAX - 1);
 }
 
 static bool
-read_token (struct entry_request *j)
+read_token (struct entry_request *er)
 {
-  const char *text = cfs_http_request_header (j->call, "Session");
+  const char *text = cfs_http_request_header (er->call, "Session");
   const struct cfs_token_entry *seen;
 
   if (!text)
-    text = cfs_http_request_cookie (j->call, "coltsfootstage-session");
+    text = cfs_http_request_cookie (er->call, "coltsfootstage-session");
   if (!text || !*text)
     return true;
-  if (cfs_token_read (text, j->entry->token_key, &j->token) != CFS_OK)
+  if (cfs_token_read (text, er->entry->token_key, &er->token) != CFS_OK)
     return false;
-  seen = cfs_token_find (&j->token, j->group);
+  seen = cfs_token_find (&er->token, er->group);
   if (seen)
     {
-      j->request.token_term = seen->term;
-      j->request.token_position = seen->position;
+      er->request.token_term = seen->term;
+      er->request.token_position = seen->position;
     }
   return true;
 }
 
 /* Takes the job on for a team once session and repeat headers are sound. */
 static void
-accept_job (struct entry_request *j, const struct cfs_team *team,
-            const char *session_team, int64_t deadline_ms)
+accept_request (struct entry_request *er, const struct cfs_team *team,
+                const char *session_team, int64_t deadline_ms)
 {
-  if (!read_token (j))
+  if (!read_token (er))
     {
-      reject (j, CFS_CODE_BAD_REQUEST, "the session token is not valid");
+      reject (er, CFS_CODE_BAD_REQUEST, "the session token is not valid");
       return;
     }
-  if (*j->token.team && strcmp (j->token.team, session_team) != 0)
+  if (*er->token.team && strcmp (er->token.team, session_team) != 0)
     {
-      reject (j, CFS_CODE_FORBIDDEN, "the session is of another team");
+      reject (er, CFS_CODE_FORBIDDEN, "the session is of another team");
       return;
     }
-  cfs_copy (j->token.team, sizeof j->token.team, session_team);
-  if (!read_repeat (j))
+  cfs_copy (er->token.team, sizeof er->token.team, session_team);
+  if (!read_resend_headers (er))
     {
-      reject (j, CFS_CODE_BAD_REQUEST,
+      reject (er, CFS_CODE_BAD_REQUEST,
               "Idempotency-Key or Repeatable is malformed");
       return;
     }
-  entry_submit (j->entry, j, team, deadline_ms);
+  entry_submit (er->entry, er, team, deadline_ms);
 }
 
 static const struct cfs_team *
@@ -232,7 +233,7 @@
   const struct cfs_sheet *sheet = cfs_conf_sheet (conf, name);
   const struct cfs_team *team = authenticate (e, call);
   const struct cfs_team *owner;
-  struct entry_request *j;
+  struct entry_request *er;
 
   if (entry_bearer (call) && !team)
     {
@@ -254,12 +255,12 @@
                      CFS_NOT_RUN, "the sheet is another team's");
       return;
     }
-  j = new_job (e, call, CFS_READ, sheet->group);
-  j->sql = cfs_strdup (sheet->sql);
-  j->request.max_age_us = sheet->max_age_us;
+  er = new_request (e, call, CFS_READ, sheet->group);
+  er->sql = cfs_strdup (sheet->sql);
+  er->request.max_age_us = sheet->max_age_us;
   if (team)
-    j->bearer = cfs_strdup (entry_bearer (call));
-  accept_job (j, owner, team ? team->name : "", DEADLINE_DEFAULT_MS);
+    er->bearer = cfs_strdup (entry_bearer (call));
+  accept_request (er, owner, team ? team->name : "", DEADLINE_DEFAULT_MS);
 }
 
 /* Kind of a request under /v1/groups/G/..., CFS_KIND_COUNT for none. */
@@ -285,8 +286,8 @@
 {
   enum cfs_request_kind kind = kind_of (parts, count);
   const struct cfs_team *team = authenticate (e, call);
-  bool carries = kind == CFS_WRITE || kind == CFS_STATEMENT;
-  struct entry_request *j;
+  bool has_statement = kind == CFS_WRITE || kind == CFS_STATEMENT;
+  struct entry_request *er;
   int64_t deadline;
 
   if (!team)
@@ -301,13 +302,15 @@
                      "no such resource");
       return;
     }
-  j = new_job (e, call, kind, parts[0]);
-  j->bearer = cfs_strdup (entry_bearer (call));
+  er = new_request (e, call, kind, parts[0]);
+  er->bearer = cfs_strdup (entry_bearer (call));
   if (count == 4)
-    cfs_copy (j->request.transaction, sizeof j->request.transaction, parts[2]);
-  deadline = read_body (j, carries ? statement_fields : plain_fields);
+    cfs_copy (er->request.transaction, sizeof er->request.transaction,
+              parts[2]);
+  deadline
+      = read_body (er, has_statement ? statement_fields : deadline_fields);
   if (deadline)
-    accept_job (j, team, team->name, deadline);
+    accept_request (er, team, team->name, deadline);
 }
 
 void
--- a/tests/unit/gate_random.c
+++ b/tests/unit/gate_random.c
@@ -64,8 +64,8 @@
               w, "end", cfs_random (&w->seed) % 4 ? CFS_COMMIT : CFS_ROLLBACK,
               "", q->session, false, q->request.transaction, CFS_US_PER_S, 0);
         }
-      else if (*q->request.key && q->outcome != CFS_DONE && !q->request.once
-               && cfs_random (&w->seed) % 2)
+      else if (*q->request.key && q->outcome != CFS_DONE
+               && !q->request.send_once && cfs_random (&w->seed) % 2)
         {
           q->used = false;
           wg_resend (w, i);
--- a/tests/unit/shares_random.c
+++ b/tests/unit/shares_random.c
@@ -127,7 +127,7 @@
 beat (struct world *w, struct host *h)
 {
   const struct cfs_team_limits *t = &w->catalog->teams[0];
-  struct cfs_quota_team *r = cfs_table_add (&h->quota.rows, TEAM);
+  struct cfs_quota_team *r = cfs_table_add (&h->quota.teams, TEAM);
   double held = w->now < h->quota.until ? r->share : 0;
 
   h->beat_at = w->now + HEARTBEAT_STEP_US;
@@ -149,7 +149,7 @@
 ask (struct world *w, struct host *h)
 {
   const struct cfs_team_limits *t = &w->catalog->teams[0];
-  struct cfs_quota_team *r = cfs_table_add (&h->quota.rows, TEAM);
+  struct cfs_quota_team *r = cfs_table_add (&h->quota.teams, TEAM);
   uint32_t want = cfs_quota_tokens_to_request (r, w->now);
   struct answer *a;
 
@@ -169,9 +169,9 @@
 static void
 take_tokens (struct host *h, const struct answer *a)
 {
-  struct cfs_quota_token_reply answer = { .asked = a->asked,
+  struct cfs_quota_token_reply answer = { .requested = a->asked,
                                           .count = a->tokens,
-                                          .known = a->known,
+                                          .authoritative = a->known,
                                           .sent_at = a->sent_at };
 
   cfs_quota_add_tokens (&h->quota, TEAM, &answer);
@@ -405,7 +405,7 @@
     step_world (&w, false);
   for (int i = 0; i < HOSTS; i++)
     {
-      struct cfs_quota_team *r = cfs_table_add (&w.hosts[i].quota.rows, TEAM);
+      struct cfs_quota_team *r = cfs_table_add (&w.hosts[i].quota.teams, TEAM);
 
       granted += r->granted;
       refused += w.hosts[i].refused;
--- a/tests/world/gate.c
+++ b/tests/world/gate.c
@@ -118,7 +118,7 @@
   ((struct wg_request *)r->payload)->sent++;
   if (inst == WG_INSTANCES)
     {
-      struct cfs_work_result lost = { .ran = WORK_STATUS_NOT_RUN };
+      struct cfs_work_result lost = { .status = WORK_STATUS_NOT_RUN };
 
       e = conn_event (h, EV_RESULT, conn, 0, h->world->rtt_us);
       e->result = lost;
@@ -440,7 +440,7 @@
       /* The instance was started anew: it resets the old connection. */
       r = conn_event (h, EV_RESULT, e->conn, e->inst, w->rtt_us / 2);
       r->generation = e->generation;
-      r->result.ran = WORK_STATUS_NOT_RUN;
+      r->result.status = WORK_STATUS_NOT_RUN;
       r->result.clean = false;
       return;
     }
@@ -450,8 +450,8 @@
   start = in->busy_until[slot] > w->now ? in->busy_until[slot] : w->now;
   in->busy_until[slot] = start + w->service_us;
   res.position = in->visible;
-  res.seen = in->visible;
-  res.ran = execute (w, in, s, e);
+  res.position_max = in->visible;
+  res.status = execute (w, in, s, e);
   res.term = in->term;
   if (e->work == WORK_READ)
     check_read (w, in, &w->requests[e->request]);
@@ -799,7 +799,7 @@
   cfs_copy (r->team, sizeof r->team, "weavers");
   cfs_copy (r->key, sizeof r->key, key);
   cfs_copy (r->transaction, sizeof r->transaction, transaction);
-  r->once = once;
+  r->send_once = once;
   r->deadline = deadline_us;
   r->max_age_us = max_age_us;
   if (*q->session)
@@ -816,7 +816,7 @@
   const struct cfs_request r = w->requests[q].request;
 
   return wg_submit (w, w->requests[q].name, r.kind, r.key,
-                    w->requests[q].session, r.once, "", 3 * CFS_US_PER_S,
+                    w->requests[q].session, r.send_once, "", 3 * CFS_US_PER_S,
                     r.max_age_us);
 }
 
@@ -834,7 +834,7 @@
         memset (&in->sessions[h][c], 0, sizeof in->sessions[h][c]);
         if (open && w->hosts[h].alive && !w->hosts[h].frozen && !in->cut[h])
           {
-            struct cfs_work_result lost = { .ran = WORK_STATUS_UNKNOWN };
+            struct cfs_work_result lost = { .status = WORK_STATUS_UNKNOWN };
 
             w->hosts[h].generation[c]++;
             cfs_gate_work_done (w->hosts[h].gate, c, &lost,
@@ -900,7 +900,7 @@
            q->executed);
       fault (w, "never answered", q->name);
     }
-  if (q->request.once && q->sent > 1)
+  if (q->request.send_once && q->sent > 1)
     fault (w, "sent to a target more than once", q->name);
   if (!write)
     return;
