--- a/src/request/entry_int.h
+++ b/src/request/entry_int.h
@@ -1,6 +1,6 @@
 /**
- * DOC: Private parts of the entry, shared by entry.c, statement.c and
- * operate.c.
+ * DOC: Private parts of the entry, shared by entry.c, entry_statement.c and
+ * entry_operator.c.
  */
 #ifndef CFS_ENTRY_INT_H
 #define CFS_ENTRY_INT_H
