--- a/src/request/gate.c
+++ b/src/request/gate.c
@@ -1,12 +1,13 @@
 /*
- * The gate's queueing, connections and acknowledgements.  A host that holds
- * the lease runs every statement of the group, because only one place can
- * share two slots fairly, remember running idempotency keys and freeze
- * writes at a failover.  Choice of replicas is in route.c, replacement of a
- * primary in promote.c.
+ * Scheduling of requests, connections and acknowledgements.  The host that
+ * holds the lease runs every statement of the group, because only a single
+ * scheduler can divide as few as two slots fairly between teams, keep track
+ * of the idempotency keys in use and freeze writes during a failover.  Read
+ * routing is in route.c, failover in promote.c.
  *
- * An answer to a write is checked last: the lease must hold, the term of the
- * commit must be the present one, and a majority must hold its position.
+ * The result of a write is validated just before it is acknowledged: the
+ * lease must be valid, the write must have been committed in the current
+ * term, and a majority of the instances must have its position.
  */
 #include "gate_int.h"
 
@@ -14,9 +15,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Pause before a refused or lost connection is opened again. */
+/* Delay before reconnecting after a connection was refused or lost. */
 #define RECONNECT_US (100 * CFS_US_PER_MS)
-/* Pause before a request is sent again. */
+/* Minimum delay before a retry; up to the same again is added at random. */
 #define RETRY_PAUSE_US (20 * CFS_US_PER_MS)
 
 const struct cfs_gate_tuning cfs_gate_defaults = {
@@ -38,7 +39,8 @@
   .wait_for_replica = true,
 };
 
-/* What a queue scan needs to know. */
+/* Context of the callbacks that test whether a queued request can run, with
+   the instance and connection selected for it. */
 struct scan
 {
   struct cfs_gate *gate;
@@ -91,7 +93,7 @@
   g->ops->reply (g->ctx, r, &reply);
 }
 
-/* Outcome of a request that is given up now: sent ones are not certain. */
+/* Outcome of a request that is abandoned: unknown once it has been sent. */
 static enum cfs_outcome
 abandoned_outcome (const struct cfs_request *r)
 {
@@ -112,7 +114,8 @@
   return s->conn >= 0;
 }
 
-/* Whether the same team's key is running or waits for replicas. */
+/* Whether another request of the team with the same idempotency key is
+   running. */
 static bool
 key_in_use (const struct cfs_gate *g, const struct cfs_request *r)
 {
@@ -202,7 +205,6 @@
   return r->kind == CFS_READ ? CFS_LANE_READ : CFS_LANE_WRITE;
 }
 
-/* Queues a request again if its attempts and the budget allow. */
 bool
 gate_retry (struct cfs_gate *g, struct cfs_request *r, int64_t now)
 {
@@ -283,7 +285,7 @@
     }
 }
 
-/* A connection ended under a request. */
+/* Handles the loss of the connection that executed a request. */
 static void
 finish_disconnected (struct cfs_gate *g, struct cfs_request *r,
                      enum cfs_work_status status, int64_t now)
@@ -333,7 +335,7 @@
     }
 }
 
-/* What becomes of the connection after its work. */
+/* Makes a connection idle, pins it to its transaction or closes it. */
 static void
 release_conn (struct cfs_gate *g, unsigned c, const struct gate_conn *before,
               const struct cfs_work_result *res, int64_t now)
@@ -371,8 +373,9 @@
     }
 }
 
-/* Transactions die with a failed statement as in PostgreSQL, so the pinned
-   connection stays until the caller ends it. */
+/* Completes the work on a connection.  A failed statement aborts its
+   transaction, as in PostgreSQL, but the connection stays pinned until the
+   client rolls back. */
 static void
 end_work (struct cfs_gate *g, unsigned c, const struct cfs_work_result *res,
           int64_t now)
@@ -384,7 +387,7 @@
   finish (g, &before, before.request, res, now);
 }
 
-/* Ends the work of a connection that is given up. */
+/* Closes a connection.  Work in progress ends with an unknown outcome. */
 static void
 abort_conn (struct cfs_gate *g, unsigned c, int64_t now)
 {
@@ -412,7 +415,8 @@
   return true;
 }
 
-/* Sends everything that waits back to where it came from. */
+/* Replies to all queued requests that the gate has moved, so that their
+   entry hosts send them to the new gate. */
 static void
 redirect_queued (struct cfs_gate *g)
 {
@@ -455,8 +459,9 @@
     run (g, (unsigned)c, r, now);
 }
 
-/* Tells a session that a change it has seen is gone, and where the kept
-   history goes on, so that it can go on from there. */
+/* Tells a session that a change which it has seen was discarded by a
+   failover.  The reply has the start of the current term, from which the
+   session can continue. */
 static void
 reply_write_lost (struct cfs_gate *g, struct cfs_request *r)
 {
@@ -742,7 +747,7 @@
     }
 }
 
-/* Keeps as many connections open as an instance has slots. */
+/* Opens connections in advance, as many as an instance has slots. */
 static void
 warm_connections (struct cfs_gate *g, int64_t now)
 {
--- a/src/request/gate_ack.c
+++ b/src/request/gate_ack.c
@@ -1,12 +1,15 @@
 /*
- * Writes that are committed at the primary and wait for a majority of
- * instances to hold them.  The check is made anew at each probe and after
- * each change of term, and last of all the lease is looked at.
+ * Writes that are committed at the primary and wait until a majority of the
+ * instances has them.  They are checked after every probe reply, at every
+ * tick and after every change of term.  The lease is checked right before
+ * the reply.
  */
 #include "gate_int.h"
 
 #include <string.h>
 
+/* Number of instances that have the current term's history up to @position,
+   the primary included. */
 static unsigned
 count_holders (const struct cfs_gate *g, uint64_t position)
 {
@@ -19,8 +22,9 @@
   return n;
 }
 
-/* A write of an earlier term that the kept history includes stands at the
-   same position of the present term, but a majority must hold it there. */
+/* A write that was committed in an earlier term and is part of the current
+   history has the same position in the current term, but a majority must
+   have it in that term. */
 static bool
 may_acknowledge (const struct cfs_gate *g, struct cfs_gate_reply *reply)
 {
@@ -37,7 +41,8 @@
   return count_holders (g, reply->position) >= gate_majority (g);
 }
 
-/* Settles one waiting write.  Returns whether it is done with. */
+/* Replies to a pending write or retries it, if its outcome is decided.
+   Returns whether that was so. */
 static bool
 resolve_ack (struct cfs_gate *g, struct gate_pending_ack *a, int64_t now)
 {
@@ -80,8 +85,8 @@
 {
   size_t remaining = 0;
 
-  /* Invariant: pending_acks before kept still wait; those between kept and i
-     are done with. */
+  /* Invariant: entries before remaining are pending; those from remaining
+     to i are resolved. */
   for (size_t i = 0; i < g->pending_ack_count; i++)
     if (!resolve_ack (g, &g->pending_acks[i], now))
       g->pending_acks[remaining++] = g->pending_acks[i];
--- a/src/request/gate_conn.c
+++ b/src/request/gate_conn.c
@@ -1,13 +1,14 @@
 /*
- * The gate's connections, by handle.  Statements beyond the slots of an
- * instance slow each other down, so connections are opened only as far as
- * statements may run; one is left for probes.
+ * Connections of the gate to its instances.  Statements beyond the slots of
+ * an instance slow each other down, so no more connections are opened than
+ * statements may run in parallel.  One of the connections that an instance
+ * accepts is reserved for probes.
  */
 #include "gate_int.h"
 
 #include <string.h>
 
-/* Connections of an instance that are kept for probes. */
+/* Connections to each instance that are reserved for probes. */
 #define PROBE_CONNECTIONS 1
 
 static void
@@ -82,7 +83,6 @@
   return -1;
 }
 
-/* An idle connection, or -1 after one more was asked for. */
 int
 gate_conn_take (struct cfs_gate *g, unsigned inst, int64_t now)
 {
--- a/src/request/gate_int.h
+++ b/src/request/gate_int.h
@@ -1,24 +1,28 @@
 /**
- * DOC: Private parts of the gate, shared by its files.
+ * DOC: Internal declarations of the gate, shared by gate*.c, route.c and
+ * promote.c.
  */
 #ifndef CFS_GATE_INT_H
 #define CFS_GATE_INT_H
 
 #include "gate.h"
 
-/* Rows of the table of connections. */
+/* Size of the connection table. */
 #define CONN_COUNT (GATE_CONNECTIONS_MAX * GATE_INSTANCES_MAX)
-/* Reports of the primary kept to judge the age of replicas. */
+/* Positions of the primary that are kept to determine the staleness of
+   replicas. */
 #define ROUTE_SAMPLES 256
 
 /**
- * enum cfs_gate_phase - state of the primary as the gate sees it
+ * enum cfs_gate_phase - failover state of the gate
  * @PHASE_IDLE: no lease or no known term
- * @PHASE_SERVING: writes run and are acknowledged
- * @PHASE_REQUESTING_TERM: writes are frozen; a new term was asked for
- * @PHASE_SELECTING: a term is granted; positions are being collected
- * @PHASE_PROMOTING: an instance was ordered to lead
- * @PHASE_CONFIRMING: it leads; the control group has yet to record it
+ * @PHASE_SERVING: writes are executed and acknowledged
+ * @PHASE_REQUESTING_TERM: writes are frozen; a new term has been requested
+ * from the control group
+ * @PHASE_SELECTING: the term is granted; positions are being collected
+ * @PHASE_PROMOTING: a promotion request was sent to the candidate
+ * @PHASE_CONFIRMING: the candidate is primary; the control group has not yet
+ * recorded it
  */
 enum cfs_gate_phase
 {
@@ -30,7 +34,23 @@
   PHASE_CONFIRMING
 };
 
-/** struct gate_instance - one instance of the group */
+/**
+ * struct gate_instance - one instance of the group
+ * @slots: statements that it executes in parallel without slowing down
+ * @connections: connections that it accepts
+ * @leaving: it announced that it will shut down
+ * @primary: it accepts writes, as of the last probe reply
+ * @last_probe_sent_at: time of the latest probe
+ * @term: term of its history
+ * @position: log position that it has applied
+ * @start: log position at which @term starts
+ * @last_probe_reply_at: time of the latest reply
+ * @answered_probe_sent_at: time at which the probe of that reply was sent
+ * @connect_after: earliest time of the next connection attempt
+ * @open_conns: connections that are open or being opened
+ * @running: connections that execute a statement
+ * @pinned_conns: connections that belong to a transaction
+ */
 struct gate_instance
 {
   char name[CFS_NAME_MAX];
@@ -53,7 +73,14 @@
   unsigned pinned_conns;
 };
 
-/** enum gate_conn_state - state of one connection */
+/**
+ * enum gate_conn_state - state of one connection
+ * @CONN_FREE: unused entry
+ * @CONN_OPENING: being opened
+ * @CONN_IDLE: open and available
+ * @CONN_BUSY: executes work
+ * @CONN_PINNED: belongs to a transaction that is idle
+ */
 enum gate_conn_state
 {
   CONN_FREE = 0,
@@ -63,7 +90,13 @@
   CONN_PINNED
 };
 
-/** struct gate_conn - one connection, by handle */
+/**
+ * struct gate_conn - one connection, identified by its index
+ * @term: term of the group when the work was started
+ * @transaction: transaction to which it is pinned, or ""
+ * @team: team that owns the transaction
+ * @abort: not used
+ */
 struct gate_conn
 {
   enum gate_conn_state state;
@@ -78,20 +111,44 @@
   bool abort;
 };
 
-/** struct gate_pending_ack - a committed write that waits for replicas */
+/**
+ * struct gate_pending_ack - a write that is committed at the primary and
+ * waits for replicas
+ */
 struct gate_pending_ack
 {
   struct cfs_request *request;
   struct cfs_gate_reply reply;
 };
 
-/** struct primary_sample - a position that the primary had at a known time */
+/** struct primary_sample - position of the primary at time @at */
 struct primary_sample
 {
   int64_t at;
   uint64_t position;
 };
 
+/**
+ * struct cfs_gate - state of a gate
+ * @epoch: epoch of the lease, 0 for none
+ * @group: group state committed by the control group
+ * @size: number of instances in the group
+ * @ack_primary: a write needs no replicas to be acknowledged
+ * @phase_since: time at which the phase started
+ * @candidate: instance being promoted
+ * @promoted_start: log position at which the new term starts
+ * @used_term: last granted term for which a promotion was started
+ * @candidate_position: log position up to which the candidate is known to
+ * share the history of the current term
+ * @candidate_current: the candidate's history is of the current term
+ * @stall_since: time at which the best replica last made progress
+ * @stall_position: position of the best replica at that time
+ * @resumed_at: time at which this process resumed from a suspension
+ * @conn_used: entries of @conn that have ever been used
+ * @samples: ring of positions of the primary
+ * @retry_budget: retries that are available
+ * @next_inst: instance at which the next search for a replica starts
+ */
 struct cfs_gate
 {
   const struct cfs_gate_ops *ops;
@@ -132,37 +189,41 @@
   struct cfs_gate_stats stats;
 };
 
-/** gate_lease_valid() - whether the lease holds at @now */
+/** gate_lease_valid() - whether the lease is valid at @now */
 bool gate_lease_valid (const struct cfs_gate *gate, int64_t now);
 
-/** gate_majority() - instances that make a majority of the group */
+/** gate_majority() - number of instances that form a majority of the group */
 unsigned gate_majority (const struct cfs_gate *gate);
 
-/** gate_primary() - handle of the primary of the present term, or -1 */
+/** gate_primary() - index of the current term's primary, or -1 */
 int gate_primary (const struct cfs_gate *gate);
 
-/** gate_has_capacity() - whether an instance may be given another statement */
+/** gate_has_capacity() - whether an instance can take another statement */
 bool gate_has_capacity (const struct cfs_gate *gate, unsigned inst);
 
 /**
- * route_read() - chooses where a read runs now
+ * route_read() - selects the instance for a read
  *
- * Return: an instance, or -1 when it has to wait.
+ * Return: its index, or -1 when the read has to wait.
  */
 int route_read (struct cfs_gate *gate, const struct cfs_request *request,
                 int64_t now);
 
-/** route_add_sample() - notes a position that the primary reported */
+/** route_add_sample() - records that the primary was at @position at @at */
 void route_add_sample (struct cfs_gate *gate, uint64_t position, int64_t at);
 
-/** route_clip_samples() - a new term keeps the history up to @start only */
+/**
+ * route_clip_samples() - adapts the samples to a new term, which keeps the
+ * history up to @start only
+ */
 void route_clip_samples (struct cfs_gate *gate, uint64_t start);
 
 /**
- * enum route_token - what a session's position means in the present term
- * @TOKEN_VALID: the position is part of the present history
- * @TOKEN_LOST: the position was past the branch that was kept
- * @TOKEN_AHEAD: the token is of a term that this gate does not know yet
+ * enum route_token - validity of a session's position in the current term
+ * @TOKEN_VALID: the position is part of the current history
+ * @TOKEN_LOST: the position is after the start of a later term, so the
+ * change that it stands for was discarded by a failover
+ * @TOKEN_AHEAD: the position is of a term that this gate does not know yet
  */
 enum route_token
 {
@@ -171,44 +232,63 @@
   TOKEN_AHEAD
 };
 
-/** route_token() - judges a session's position */
+/** route_check_token() - checks a session's position against the history */
 enum route_token route_check_token (const struct cfs_group *group,
                                     uint64_t term, uint64_t position);
 
-/** promote_tick() - detection, choice and promotion of a primary */
+/** promote_tick() - advances failure detection and failover */
 void promote_tick (struct cfs_gate *gate, int64_t now);
 
-/** promote_set_phase() - enters a phase */
 void promote_set_phase (struct cfs_gate *gate, enum cfs_gate_phase phase,
                         int64_t now);
 
-/** gate_reply() - ends a request; not_run of an unsure one says unknown */
+/**
+ * gate_reply() - completes a request
+ *
+ * CFS_NOT_RUN is replaced by CFS_UNKNOWN when an earlier attempt may have
+ * taken effect.
+ */
 void gate_reply (struct cfs_gate *gate, struct cfs_request *request,
                  enum cfs_code code, enum cfs_outcome outcome, void *body);
 
-/** gate_retry() - queues a request again if attempts and budget allow */
+/**
+ * gate_retry() - queues a request again if its attempts, its deadline and
+ * the retry budget allow
+ *
+ * Return: whether it was queued.
+ */
 bool gate_retry (struct cfs_gate *gate, struct cfs_request *request,
                  int64_t now);
 
-/** gate_conn_limit() - statements' connections that an instance may have */
+/** gate_conn_limit() - maximum number of connections used for statements */
 unsigned gate_conn_limit (const struct gate_instance *instance);
 
-/** gate_conn_open() - opens one more connection if there is room */
+/** gate_conn_open() - opens a connection unless the limit is reached */
 void gate_conn_open (struct cfs_gate *gate, unsigned inst, int64_t now);
 
-/** gate_conn_take() - an idle connection, or -1 after one was asked for */
+/**
+ * gate_conn_take() - returns an idle connection
+ *
+ * Return: its index, or -1; then another connection may have been requested.
+ */
 int gate_conn_take (struct cfs_gate *gate, unsigned inst, int64_t now);
 
-/** gate_conn_close() - closes a connection in any state */
+/** gate_conn_close() - closes a connection, whatever its state */
 void gate_conn_close (struct cfs_gate *gate, unsigned conn);
 
-/** gate_wait_for_majority() - holds the answer to a committed write back */
+/**
+ * gate_wait_for_majority() - delays the reply to a committed write until a
+ * majority of the instances have it
+ */
 void gate_wait_for_majority (struct cfs_gate *gate,
                              struct cfs_request *request,
                              const struct cfs_work_result *result,
                              int64_t now);
 
-/** gate_check_acks() - answers or repeats writes that waited for replicas */
+/**
+ * gate_check_acks() - replies to pending writes that are replicated, expired
+ * or lost, or retries them
+ */
 void gate_check_acks (struct cfs_gate *gate, int64_t now);
 
 #endif
--- a/src/request/promote.c
+++ b/src/request/promote.c
@@ -1,9 +1,10 @@
 /*
- * Replacing a primary.  The gate freezes itself first, so no separate
- * freeze has to be acknowledged; the control group then grants a term that
- * nobody else can get; positions of a majority show the instance that holds
- * every acknowledged write; it is ordered to lead; and writes resume only
- * once the control group has recorded the term and its starting position.
+ * Failover.  The gate itself stops executing writes first, so no other party
+ * has to confirm a freeze.  The control group then grants a new
+ * term, which nobody else can get.  The positions of a sufficient number of
+ * instances show which one has every acknowledged write, and that one is
+ * promoted.  Writes resume only after the control group has recorded the
+ * term and the position at which it starts.
  */
 #include "gate_int.h"
 
@@ -15,7 +16,8 @@
   g->stall_since = now;
 }
 
-/* Time since the primary last answered, less our own pauses. */
+/* Whether the primary has not replied to probes for too long.  Time before
+   this process resumed from a suspension does not count. */
 static bool
 primary_unresponsive (const struct cfs_gate *g, unsigned primary, int64_t now)
 {
@@ -41,8 +43,8 @@
   return best;
 }
 
-/* Whether writes wait while no replica makes progress, although enough of
-   them can be reached to choose another primary. */
+/* Whether writes wait for replicas and no replica makes progress, although
+   enough of them are reachable to promote one. */
 static bool
 replication_stalled (struct cfs_gate *g, int primary, int64_t now)
 {
@@ -85,9 +87,10 @@
          || replication_stalled (g, primary, now);
 }
 
-/* How much of the present term's history an instance certainly holds.  One
-   of an older term may have gone its own way behind the next branch; one of
-   a term that was never recorded did so behind its start. */
+/* Log position up to which an instance is known to share the history of the
+   current term.  The history of an instance in an older term may diverge
+   after the start of the next term; that of an instance in a term that the
+   control group never recorded diverges after the start of that term. */
 static uint64_t
 shared_position (const struct cfs_gate *g, const struct gate_instance *in)
 {
@@ -102,7 +105,8 @@
   return limit;
 }
 
-/* Whether a holds more than b; of two equal ones, whether a is better. */
+/* Whether a is a better candidate than b: it has more of the history or,
+   with the same position, it is not leaving or is in the current term. */
 static bool
 preferred_over (const struct cfs_gate *g, const struct gate_instance *a,
                 const struct gate_instance *b)
@@ -117,10 +121,11 @@
   return a->term == g->group.term && b->term != g->group.term;
 }
 
-/* The instance that holds every acknowledged write, or -1 while too few
-   have answered since the term was granted.  An acknowledged write is on a
-   majority; so it is on one of any n - majority + 1 instances.  The former
-   primary is taken again only when too few others have answered in time. */
+/* Returns an instance that has every acknowledged write, or -1 while too few
+   have replied since the term was granted.  An acknowledged write is on a
+   majority of the instances, so any n - majority + 1 of them include one
+   that has it.  The former primary is selected again only if too few others
+   reply in time. */
 static int
 select_candidate (const struct cfs_gate *g, int64_t now)
 {
--- a/src/request/request.h
+++ b/src/request/request.h
@@ -1,8 +1,8 @@
 /**
- * DOC: One request as the decision modules see it.
+ * DOC: A client request as seen by admission, the fair queue and the gate.
  *
- * The adapter that made a request owns its payload; the module it was
- * submitted to owns the request until it answers it.
+ * The caller that created a request owns its payload.  The module to which
+ * it was submitted owns the request until it replies to it.
  */
 #ifndef CFS_REQUEST_H
 #define CFS_REQUEST_H
@@ -13,9 +13,9 @@
 #define CFS_TRANSACTION_MAX 40
 
 /**
- * enum cfs_request_kind - what a request asks for
+ * enum cfs_request_kind - type of a request
  * @CFS_READ: one statement in a read-only transaction
- * @CFS_WRITE: one statement in a transaction of its own
+ * @CFS_WRITE: one statement in its own read-write transaction
  * @CFS_BEGIN: opens a transaction
  * @CFS_STATEMENT: one statement inside a transaction
  * @CFS_COMMIT: commits a transaction
@@ -32,7 +32,11 @@
   CFS_KIND_COUNT
 };
 
-/** enum cfs_lane - queue that a request waits in: replicas or primary */
+/**
+ * enum cfs_lane - queue of a request
+ * @CFS_LANE_READ: reads, served by a replica or the primary
+ * @CFS_LANE_WRITE: writes and transactions, served by the primary
+ */
 enum cfs_lane
 {
   CFS_LANE_READ = 0,
@@ -41,17 +45,22 @@
 };
 
 /**
- * struct cfs_request - a request and its state inside a module
- * @next: link of the queue that it waits in
- * @payload: statement and origin, owned by the adapter
- * @deadline: time after which an answer is of no use
- * @max_age_us: greatest age of the data of a read
- * @token_term: term of the session's position, 0 when it has none
- * @token_position: position that a read must include
+ * struct cfs_request - a request with its scheduling and retry state
+ * @next: next request in the queue
+ * @payload: statement and origin, owned by the caller
+ * @weight: weight of the team in the fair queue
+ * @started_at: time of the last attempt
+ * @deadline: time at which the client stops waiting
+ * @max_age_us: maximum staleness of the data returned by a read
+ * @token_term: term of the position in the session token, 0 for no position
+ * @token_position: log position that a read must include
  * @key: idempotency key or ""
  * @transaction: transaction id or ""
- * @once: never to be sent to a target twice
- * @unsure: an earlier sending may have taken effect
+ * @send_once: must not be sent to a target more than once
+ * @maybe_applied: an earlier attempt may have taken effect
+ * @attempts: number of times it was sent to a target
+ * @not_before: earliest time of the next attempt
+ * @estimate_us: service time charged to the team when it was dequeued
  */
 struct cfs_request
 {
--- a/src/request/route.c
+++ b/src/request/route.c
@@ -1,9 +1,9 @@
 /*
- * A replica may serve a read when three things are proved: it holds the
- * present history, it has applied the session's position, and it has
- * applied a position that the primary was seen at no longer ago than the
- * greatest age.  A replica's own word about its lag is never used, because
- * one that lost its primary does not know that it is stale.
+ * Routing of reads.  A replica may serve a read if its history is a prefix
+ * of the current one, if it has applied the session's position, and if it
+ * has applied a position that the primary had within the maximum age of the
+ * read.  The lag that a replica reports itself is not used, because a replica
+ * that has lost its primary does not know that it is stale.
  */
 #include "gate_int.h"
 
@@ -27,8 +27,9 @@
       g->samples[i].position = start;
 }
 
-/* Whether data up to @position is at most @max_age_us old.  The oldest
-   sample inside the age asks for the least position. */
+/* Whether data up to @position is at most @max_age_us old.  Positions only
+   grow, so the oldest sample within that age gives the position that is
+   required at least. */
 static bool
 within_max_age (const struct cfs_gate *g, uint64_t position,
                 int64_t max_age_us, int64_t now)
@@ -60,8 +61,8 @@
   return TOKEN_VALID;
 }
 
-/* Whether an instance holds a part of the present history and nothing else:
-   also one that has yet to hear of the present term. */
+/* Whether the instance's history is a prefix of the current history.  The
+   instance need not have heard of the current term. */
 static bool
 on_current_history (const struct cfs_gate *g, const struct gate_instance *in)
 {
@@ -85,7 +86,9 @@
          && within_max_age (g, in->position, r->max_age_us, now);
 }
 
-/* The fresh replica with the least load, counted from a moving start. */
+/* Returns the least loaded replica that is fresh enough and has capacity, or
+   -1.  The search starts at a rotating index, to spread reads over replicas
+   of equal load.  @exists tells whether any replica is fresh enough. */
 static int
 least_loaded (struct cfs_gate *g, const struct cfs_request *r, int64_t now,
               bool *exists)
