--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -241,8 +241,8 @@
   say (b, hosts, "leader's share of a core", cpu / beats * hosts * per_s / 1e4,
        "%");
   say (b, hosts, "memory of state and leader", memory / 1e6, "MB");
-  say (b, hosts, "snapshot", (double)cfs_state_image (&f->state, &image) / 1e3,
-       "kB");
+  say (b, hosts, "snapshot",
+       (double)cfs_state_serialize (&f->state, &image) / 1e3, "kB");
   free (image);
   if (hosts == HOSTS_MAX)
     bench_at_most (b, "400 hosts: control bytes a node",
--- a/src/process/control.c
+++ b/src/process/control.c
@@ -48,7 +48,7 @@
 }
 
 static int
-save_snapshot (void *ctx, const struct cfs_snapshot *s)
+save_snapshot (void *ctx, const struct cfs_raft_snapshot *s)
 {
   const struct cfs_control *c = ctx;
 
@@ -94,7 +94,7 @@
   cJSON_AddStringToObject (line, "patch", v->patch);
   text = cJSON_PrintUnformatted (line);
   out = g_strdup_printf ("%s\n", text);
-  cfs_disk_audit (c->disk, out);
+  cfs_disk_append_audit (c->disk, out);
   g_free (out);
   free (text);
   cJSON_Delete (line);
@@ -131,7 +131,7 @@
 {
   const struct cfs_control *c = ctx;
 
-  return cfs_state_image (&c->state, data);
+  return cfs_state_serialize (&c->state, data);
 }
 
 static uint64_t
@@ -205,7 +205,7 @@
               int64_t now)
 {
   const struct cfs_patch_result *r
-      = cfs_state_result (&c->state, p->request_id);
+      = cfs_state_find_result (&c->state, p->request_id);
   bool late = now - p->received_at > IN_FORCE_WAIT_US;
   bool in_force;
 
@@ -251,7 +251,7 @@
   p->id = request->id;
   p->request_id = cfs_strdup (request->request_id);
   p->received_at = now;
-  if (!cfs_state_result (&c->state, request->request_id))
+  if (!cfs_state_find_result (&c->state, request->request_id))
     {
       patch.base_version = request->base_version;
       patch.patch = request->body;
@@ -296,7 +296,7 @@
 static void
 add_members (const struct cfs_control *c, cJSON *doc)
 {
-  const struct cfs_members *m = cfs_raft_members (c->raft);
+  const struct cfs_raft_membership *m = cfs_raft_members (c->raft);
   cJSON *list = cJSON_AddArrayToObject (doc, "members");
 
   for (size_t i = 0; i < m->count; i++)
@@ -382,7 +382,7 @@
 {
   char *text;
 
-  if (!cfs_raft_ready (c->raft, now))
+  if (!cfs_raft_leader_confirmed (c->raft, now))
     {
       reply_operator (c, from, request->id, HTTP_UNAVAILABLE, 0,
                       cfs_raft_leader (c->raft));
@@ -411,7 +411,7 @@
   Cfs__HeartbeatReply denied = CFS__HEARTBEAT_REPLY__INIT;
   const Cfs__HeartbeatReply *reply = NULL;
 
-  if (cfs_raft_ready (c->raft, now))
+  if (cfs_raft_leader_confirmed (c->raft, now))
     {
       cfs_leader_set_members (c->leader, cfs_raft_members (c->raft));
       reply = cfs_leader_heartbeat (c->leader, in, now);
@@ -429,7 +429,7 @@
 {
   Cfs__Peer out = CFS__PEER__INIT;
 
-  if (!cfs_raft_ready (c->raft, now))
+  if (!cfs_raft_leader_confirmed (c->raft, now))
     return;
   out.body_case = CFS__PEER__BODY_TOKENS_GRANT;
   out.tokens_grant
@@ -460,7 +460,7 @@
 }
 
 static void
-bootstrap_members (const struct cfs_settings *s, struct cfs_members *m)
+bootstrap_members (const struct cfs_settings *s, struct cfs_raft_membership *m)
 {
   m->count = s->control_count;
   for (size_t i = 0; i < s->control_count; i++)
@@ -474,7 +474,7 @@
 bool
 cfs_control_format (const struct cfs_settings *s, GError **error)
 {
-  struct cfs_members members = { .count = 0 };
+  struct cfs_raft_membership members = { .count = 0 };
 
   bootstrap_members (s, &members);
   return cfs_disk_format (s->data_folder, cfs_control_bootstrap_id (s->host),
@@ -516,7 +516,7 @@
                  struct cfs_loop *loop, GError **error)
 {
   struct cfs_control *c = cfs_alloc (sizeof *c);
-  struct cfs_raft_boot boot = { .id = 0 };
+  struct cfs_raft_initial_state boot = { .id = 0 };
   uint64_t new_id;
 
   c->settings = settings;
@@ -539,7 +539,7 @@
         cfs_log (CFS_NOTICE, PART, "the data folder is new; asks to join");
       bootstrap_members (settings, &boot.snapshot.members);
     }
-  c->audited_version = cfs_disk_audited (c->disk);
+  c->audited_version = cfs_disk_last_audited_version (c->disk);
   c->leader = cfs_leader_new (&leader_ops, c, &c->state);
   c->raft = cfs_raft_new (&raft_ops, c, &boot, settings->host, cfs_now ());
   return c;
@@ -582,8 +582,8 @@
   bool ready;
 
   cfs_raft_tick (c->raft, now);
-  ready = cfs_raft_ready (c->raft, now);
-  cfs_leader_tick (c->leader, ready, cfs_raft_commit (c->raft), now);
+  ready = cfs_raft_leader_confirmed (c->raft, now);
+  cfs_leader_tick (c->leader, ready, cfs_raft_commit_index (c->raft), now);
   finish_patches (c, ready, now);
   control_fleet_tick (c, ready, now);
   log_role_change (c);
--- a/src/process/control_fleet.c
+++ b/src/process/control_fleet.c
@@ -66,7 +66,7 @@
       struct commit_waiter *w = &f->waiters[i];
       bool lost = !is_leader || w->term != cfs_raft_term (c->raft);
 
-      if (!lost && cfs_raft_commit (c->raft) >= w->log_index)
+      if (!lost && cfs_raft_commit_index (c->raft) >= w->log_index)
         w->on_result (w->tag, true);
       else if (lost || now - w->started_at > COMMIT_TIMEOUT_US)
         w->on_result (w->tag, false);
@@ -130,7 +130,8 @@
   if (ready)
     drop_silent_targets (c, now);
   if (f->failover)
-    cfs_failover_tick (f->failover, ready, cfs_raft_commit (c->raft), now);
+    cfs_failover_tick (f->failover, ready, cfs_raft_commit_index (c->raft),
+                       now);
 }
 
 static uint64_t
@@ -156,7 +157,8 @@
 {
   const struct cfs_control *c = ctx;
 
-  return cfs_leader_suspected (c->leader, target, cfs_now (), hosts);
+  return cfs_leader_count_suspecting_hosts (c->leader, target, cfs_now (),
+                                            hosts);
 }
 
 static const struct cfs_failover_ops failover_ops
@@ -167,8 +169,8 @@
                          const struct cfs_control_fleet_setup *setup)
 {
   c->fleet.setup = *setup;
-  cfs_leader_serve_documents (c->leader, setup->documents,
-                              c->settings->document_lease_us);
+  cfs_leader_set_document_decoder (c->leader, setup->documents,
+                                   c->settings->document_lease_us);
   c->fleet.failover = cfs_failover_new (&failover_ops, c, setup->targets,
                                         &c->state, cfs_now);
 }
@@ -183,7 +185,7 @@
 bool
 cfs_control_is_leader (const struct cfs_control *c, int64_t now)
 {
-  return cfs_raft_ready (c->raft, now);
+  return cfs_raft_leader_confirmed (c->raft, now);
 }
 
 const char *
@@ -207,8 +209,9 @@
                           "coltsfootstage_control_committed %" PRIu64 "\n"
                           "coltsfootstage_control_members %zu\n"
                           "coltsfootstage_version %" PRIu64 "\n",
-                          cfs_raft_ready (c->raft, now),
-                          cfs_raft_term (c->raft), cfs_raft_commit (c->raft),
+                          cfs_raft_leader_confirmed (c->raft, now),
+                          cfs_raft_term (c->raft),
+                          cfs_raft_commit_index (c->raft),
                           cfs_raft_members (c->raft)->count, c->state.version);
   cfs_log_metrics (out);
 }
@@ -222,7 +225,7 @@
   Cfs__Command cmd = CFS__COMMAND__INIT;
   Cfs__Document d = CFS__DOCUMENT__INIT;
 
-  if (!cfs_raft_ready (c->raft, now))
+  if (!cfs_raft_leader_confirmed (c->raft, now))
     return CFS_NOT_LEADER;
   d.number = number;
   d.body = (char *)body;
@@ -274,7 +277,7 @@
   struct cfs_target next = *report;
   bool newest;
 
-  if (!cfs_raft_ready (c->raft, now))
+  if (!cfs_raft_leader_confirmed (c->raft, now))
     return CFS_NOT_LEADER;
   if (known && report->incarnation < known->incarnation)
     return CFS_BAD;
@@ -306,7 +309,7 @@
   const struct target_heartbeat *b = cfs_table_find (&c->fleet.heartbeats, id);
   struct cfs_target next;
 
-  if (!cfs_raft_ready (c->raft, now))
+  if (!cfs_raft_leader_confirmed (c->raft, now))
     return CFS_NOT_LEADER;
   if (!known || known->gone)
     {
--- a/src/process/directory.c
+++ b/src/process/directory.c
@@ -27,7 +27,7 @@
 }
 
 static bool
-take_conf (struct cfs_directory *d, const Cfs__HeartbeatReply *r)
+update_conf (struct cfs_directory *d, const Cfs__HeartbeatReply *r)
 {
   struct cfs_conf *next;
 
@@ -46,7 +46,7 @@
 bool
 cfs_directory_update (struct cfs_directory *d, const Cfs__HeartbeatReply *r)
 {
-  bool changed = take_conf (d, r);
+  bool changed = update_conf (d, r);
 
   for (size_t i = 0; i < r->n_assignments; i++)
     {
@@ -64,14 +64,14 @@
 }
 
 bool
-cfs_directory_leased (const struct cfs_directory *d, int64_t now)
+cfs_directory_has_lease (const struct cfs_directory *d, int64_t now)
 {
   return d->conf && now < d->lease_until;
 }
 
 const struct cfs_lease *
-cfs_directory_holder (const struct cfs_directory *d, const char *prefix,
-                      const char *name)
+cfs_directory_find_lease (const struct cfs_directory *d, const char *prefix,
+                          const char *name)
 {
   char resource[CFS_NAME_MAX];
 
@@ -80,8 +80,8 @@
 }
 
 bool
-cfs_directory_is_own (const struct cfs_directory *d,
-                      const struct cfs_lease *lease)
+cfs_directory_holds_lease (const struct cfs_directory *d,
+                           const struct cfs_lease *lease)
 {
   return lease && lease->boot == d->boot
          && strcmp (lease->holder, d->host) == 0;
--- a/src/process/directory.h
+++ b/src/process/directory.h
@@ -35,16 +35,19 @@
 bool cfs_directory_update (struct cfs_directory *directory,
                            const Cfs__HeartbeatReply *reply);
 
-/** cfs_directory_leased() - whether this host may serve at @now */
-bool cfs_directory_leased (const struct cfs_directory *directory, int64_t now);
+/** cfs_directory_has_lease() - whether this host may serve at @now */
+bool cfs_directory_has_lease (const struct cfs_directory *directory,
+                              int64_t now);
 
-/** cfs_directory_holder() - lease of "gate/NAME" or "limit/NAME", or NULL */
+/** cfs_directory_find_lease() - lease of "gate/NAME" or "limit/NAME", or NULL
+ */
 const struct cfs_lease *
-cfs_directory_holder (const struct cfs_directory *directory,
-                      const char *prefix, const char *name);
+cfs_directory_find_lease (const struct cfs_directory *directory,
+                          const char *prefix, const char *name);
 
-/** cfs_directory_is_own() - whether this run of this host holds a lease */
-bool cfs_directory_is_own (const struct cfs_directory *directory,
-                           const struct cfs_lease *lease);
+/** cfs_directory_holds_lease() - whether this run of this host holds a lease
+ */
+bool cfs_directory_holds_lease (const struct cfs_directory *directory,
+                                const struct cfs_lease *lease);
 
 #endif
--- a/src/process/disk.c
+++ b/src/process/disk.c
@@ -103,7 +103,7 @@
 
 /* Length of the record at @p, 0 when it is not whole and sound. */
 static size_t
-check_record (const uint8_t *p, size_t left)
+valid_record_size (const uint8_t *p, size_t left)
 {
   uint32_t len;
 
@@ -121,16 +121,16 @@
 /* Whether any sound record starts behind a damaged place: then the damage is
    not a torn tail. */
 static bool
-sound_record_follows (const uint8_t *p, size_t left)
+valid_record_follows (const uint8_t *p, size_t left)
 {
   for (size_t i = 1; i + RECORD_HEAD <= left; i++)
-    if (check_record (p + i, left - i))
+    if (valid_record_size (p + i, left - i))
       return true;
   return false;
 }
 
 static void
-add_mark (struct cfs_disk *d, uint64_t index, off_t offset)
+add_offset (struct cfs_disk *d, uint64_t index, off_t offset)
 {
   cfs_grow (&d->marks, &d->cap, d->count, sizeof *d->marks);
   d->marks[d->count].index = index;
@@ -139,7 +139,7 @@
 }
 
 static void
-add_entry (struct cfs_raft_boot *boot, size_t *cap, const uint8_t *p)
+add_entry (struct cfs_raft_initial_state *boot, size_t *cap, const uint8_t *p)
 {
   struct cfs_entry *e;
 
@@ -157,7 +157,8 @@
 /* Reads the log behind the snapshot.  Invariant of the loop: everything
    before offset is sound. */
 static bool
-load_log (struct cfs_disk *d, struct cfs_raft_boot *boot, GError **error)
+load_log (struct cfs_disk *d, struct cfs_raft_initial_state *boot,
+          GError **error)
 {
   size_t len;
   uint8_t *data = cfs_file_read (d->folder, LOG_FILE, &len);
@@ -167,12 +168,12 @@
 
   while (offset < len)
     {
-      size_t n = check_record (data + offset, len - offset);
+      size_t n = valid_record_size (data + offset, len - offset);
       uint64_t index;
 
       if (n == 0)
         {
-          if (sound_record_follows (data + offset, len - offset))
+          if (valid_record_follows (data + offset, len - offset))
             ok = fail (error, d->folder, LOG_FILE,
                        "damaged before its last record; replace this disk");
           break;
@@ -188,7 +189,7 @@
             }
           add_entry (boot, &cap, data + offset);
         }
-      add_mark (d, index, (off_t)offset);
+      add_offset (d, index, (off_t)offset);
       offset += n;
     }
   free (data);
@@ -201,7 +202,7 @@
 
 /* The snapshot file is one record whose data is a packed RaftMsg. */
 static size_t
-pack_snapshot (const struct cfs_snapshot *s, uint8_t **out)
+pack_snapshot (const struct cfs_raft_snapshot *s, uint8_t **out)
 {
   Cfs__RaftMsg m = CFS__RAFT_MSG__INIT;
   Cfs__RaftEntry rows[RAFT_MEMBERS_MAX];
@@ -234,7 +235,7 @@
 }
 
 static void
-unpack_snapshot (const Cfs__RaftMsg *m, struct cfs_snapshot *s)
+unpack_snapshot (const Cfs__RaftMsg *m, struct cfs_raft_snapshot *s)
 {
   s->index = m->index;
   s->term = m->log_term;
@@ -244,7 +245,7 @@
     memcpy (s->data, m->snapshot.data, s->len);
   for (size_t i = 0; i < m->n_entries && i < RAFT_MEMBERS_MAX; i++)
     {
-      struct cfs_member *row = &s->members.at[s->members.count++];
+      struct cfs_raft_member *row = &s->members.at[s->members.count++];
       size_t n = m->entries[i]->data.len;
 
       row->id = m->entries[i]->index;
@@ -257,7 +258,7 @@
 }
 
 static bool
-load_snapshot (struct cfs_disk *d, struct cfs_snapshot *s, GError **error)
+load_snapshot (struct cfs_disk *d, struct cfs_raft_snapshot *s, GError **error)
 {
   size_t len;
   uint8_t *data = cfs_file_read (d->folder, SNAPSHOT_FILE, &len);
@@ -265,7 +266,7 @@
 
   if (!data)
     return true;
-  if (check_record (data, len) == len)
+  if (valid_record_size (data, len) == len)
     m = cfs__raft_msg__unpack (NULL, len - RECORD_HEAD, data + RECORD_HEAD);
   free (data);
   if (!m)
@@ -289,8 +290,8 @@
 }
 
 static bool
-load_vote (struct cfs_disk *d, struct cfs_raft_boot *boot, uint64_t fresh_id,
-           GError **error)
+load_vote (struct cfs_disk *d, struct cfs_raft_initial_state *boot,
+           uint64_t fresh_id, GError **error)
 {
   size_t len;
   uint8_t *data = cfs_file_read (d->folder, VOTE_FILE, &len);
@@ -318,9 +319,9 @@
 
 bool
 cfs_disk_format (const char *folder, uint64_t id,
-                 const struct cfs_members *members, GError **error)
+                 const struct cfs_raft_membership *members, GError **error)
 {
-  struct cfs_snapshot s = { .members = *members };
+  struct cfs_raft_snapshot s = { .members = *members };
   uint8_t *data;
   size_t len;
   bool ok;
@@ -352,7 +353,7 @@
 }
 
 struct cfs_disk *
-cfs_disk_open (const char *folder, struct cfs_raft_boot *boot,
+cfs_disk_open (const char *folder, struct cfs_raft_initial_state *boot,
                uint64_t fresh_id, GError **error)
 {
   struct cfs_disk *d = cfs_alloc (sizeof *d);
@@ -426,7 +427,7 @@
     }
   for (size_t i = 0; i < count; i++)
     {
-      add_mark (d, entries[i].index, d->end);
+      add_offset (d, entries[i].index, d->end);
       d->end += (off_t)(RECORD_HEAD + entries[i].len);
     }
   return CFS_OK;
@@ -486,7 +487,7 @@
 }
 
 int
-cfs_disk_save_snapshot (struct cfs_disk *d, const struct cfs_snapshot *s)
+cfs_disk_save_snapshot (struct cfs_disk *d, const struct cfs_raft_snapshot *s)
 {
   uint8_t *data;
   size_t len = pack_snapshot (s, &data);
@@ -499,7 +500,7 @@
 }
 
 void
-cfs_disk_audit (struct cfs_disk *d, const char *line)
+cfs_disk_append_audit (struct cfs_disk *d, const char *line)
 {
   if (!cfs_file_write (d->audit, (const uint8_t *)line, strlen (line)))
     return;
@@ -507,7 +508,7 @@
 }
 
 uint64_t
-cfs_disk_audited (struct cfs_disk *d)
+cfs_disk_last_audited_version (struct cfs_disk *d)
 {
   static const char field[] = "{\"version\":";
   size_t len;
--- a/src/process/disk.h
+++ b/src/process/disk.h
@@ -28,7 +28,8 @@
  * @members: first members of the group
  */
 bool cfs_disk_format (const char *folder, uint64_t id,
-                      const struct cfs_members *members, GError **error);
+                      const struct cfs_raft_membership *members,
+                      GError **error);
 
 /** cfs_disk_exists() - whether a folder holds an identity or a log */
 bool cfs_disk_exists (const char *folder);
@@ -43,7 +44,8 @@
  * An empty folder is a lost or new disk: it gets @fresh_id and no members.
  * Return: freed by cfs_disk_close(), or NULL.
  */
-struct cfs_disk *cfs_disk_open (const char *folder, struct cfs_raft_boot *boot,
+struct cfs_disk *cfs_disk_open (const char *folder,
+                                struct cfs_raft_initial_state *boot,
                                 uint64_t fresh_id, GError **error);
 
 /** cfs_disk_close() - closes the files */
@@ -61,12 +63,13 @@
 
 /** cfs_disk_save_snapshot() - replaces the snapshot, drops covered entries */
 int cfs_disk_save_snapshot (struct cfs_disk *disk,
-                            const struct cfs_snapshot *snapshot);
+                            const struct cfs_raft_snapshot *snapshot);
 
-/** cfs_disk_audit() - appends a line to the audit trail */
-void cfs_disk_audit (struct cfs_disk *disk, const char *line);
+/** cfs_disk_append_audit() - appends a line to the audit trail */
+void cfs_disk_append_audit (struct cfs_disk *disk, const char *line);
 
-/** cfs_disk_audited() - number of the last version in the audit trail */
-uint64_t cfs_disk_audited (struct cfs_disk *disk);
+/** cfs_disk_last_audited_version() - number of the last version in the audit
+ * trail */
+uint64_t cfs_disk_last_audited_version (struct cfs_disk *disk);
 
 #endif
--- a/src/process/leader.c
+++ b/src/process/leader.c
@@ -16,9 +16,9 @@
 
 #define ASSIGN_BATCH 256
 /* A host that was silent for this time holds no share any more. */
-#define HOST_DROP_US (20 * CFS_US_PER_S)
+#define SHARE_HOLDER_EXPIRY_US (20 * CFS_US_PER_S)
 /* Pause between proposals about the same host. */
-#define RECORD_AGAIN_US (500 * CFS_US_PER_MS)
+#define HOST_RECORD_RETRY_US (500 * CFS_US_PER_MS)
 
 static uint64_t
 propose (struct cfs_leader *l, const Cfs__Command *c)
@@ -34,7 +34,7 @@
 }
 
 static struct cfs_host *
-host_of (const struct cfs_leader *l, const struct cfs_lease *lease)
+find_holder (const struct cfs_leader *l, const struct cfs_lease *lease)
 {
   return cfs_table_find (&l->hosts, lease->holder);
 }
@@ -56,7 +56,7 @@
 
   if (lease->epoch == 0 || is_released (l, lease))
     return true;
-  h = host_of (l, lease);
+  h = find_holder (l, lease);
   if (!h)
     return now > l->grace_end;
   if (h->boot != lease->boot)
@@ -65,7 +65,7 @@
 }
 
 static bool
-may_hold (const struct cfs_host *h, int64_t now)
+is_eligible_holder (const struct cfs_host *h, int64_t now)
 {
   return !h->draining && now - h->seen_at < HOST_FRESH_US
          && now < h->lease_end;
@@ -86,7 +86,7 @@
       uint64_t score = cfs_hash (resource, strlen (resource), seed);
       bool near = zone && strcmp (zone, h->zone) == 0;
 
-      if (!may_hold (h, now))
+      if (!is_eligible_holder (h, now))
         continue;
       if (best
           && (near < best_near || (near == best_near && score <= best_score)))
@@ -134,7 +134,7 @@
   a->port = to->port;
   a->boot = to->boot;
   a->epoch = lease->epoch + 1;
-  b->from[b->count] = lease->epoch ? host_of (l, lease) : NULL;
+  b->from[b->count] = lease->epoch ? find_holder (l, lease) : NULL;
   b->list[b->count] = a;
   b->count++;
 }
@@ -183,8 +183,8 @@
 }
 
 static void
-propose_done (struct cfs_leader *l, const char *group, uint64_t term,
-              const char *primary, uint64_t start)
+propose_term_done (struct cfs_leader *l, const char *group, uint64_t term,
+                   const char *primary, uint64_t start)
 {
   Cfs__Command c = CFS__COMMAND__INIT;
   Cfs__TermDone m = CFS__TERM_DONE__INIT;
@@ -219,17 +219,17 @@
             best = b;
         }
       if (best == a)
-        propose_done (l, a->group, a->term, a->name, 0);
+        propose_term_done (l, a->group, a->term, a->name, 0);
     }
 }
 
 static void
 reload_conf (struct cfs_leader *l)
 {
-  if (l->read && l->read_version == l->state->version)
+  if (l->read && l->conf_version == l->state->version)
     return;
   l->read = true;
-  l->read_version = l->state->version;
+  l->conf_version = l->state->version;
   cfs_conf_free (l->conf);
   cfs_catalog_free (l->catalog);
   l->conf = NULL;
@@ -253,7 +253,7 @@
 
 /* Records a host before it is given shares, and drops a silent one. */
 static void
-propose_host (struct cfs_leader *l, const char *name, bool gone)
+propose_host_record (struct cfs_leader *l, const char *name, bool gone)
 {
   Cfs__Command c = CFS__COMMAND__INIT;
   Cfs__HostRecord m = CFS__HOST_RECORD__INIT;
@@ -266,41 +266,41 @@
 }
 
 static void
-record_host (struct cfs_leader *l, struct cfs_host *h, int64_t now)
+ensure_host_recorded (struct cfs_leader *l, struct cfs_host *h, int64_t now)
 {
   if (!l->edge || cfs_table_find (&l->state->hosts, h->name)
-      || now - h->recorded_at < RECORD_AGAIN_US)
+      || now - h->recorded_at < HOST_RECORD_RETRY_US)
     return;
   h->recorded_at = now;
-  propose_host (l, h->name, false);
+  propose_host_record (l, h->name, false);
 }
 
 /* Once every recorded host has told what it holds, no share of an earlier
    leader is unknown any more. */
 static void
-check_holders (struct cfs_leader *l, int64_t now)
+expire_share_holders (struct cfs_leader *l, int64_t now)
 {
   const struct cfs_table *hosts = &l->state->hosts;
 
-  if (!l->edge || now - l->holders_at < RECORD_AGAIN_US)
+  if (!l->edge || now - l->holders_checked_at < HOST_RECORD_RETRY_US)
     return;
-  l->holders_at = now;
+  l->holders_checked_at = now;
   for (size_t i = 0; i < hosts->count; i++)
     {
       const struct cfs_host_record *r = cfs_table_at (hosts, i);
       const struct cfs_host *h = cfs_table_find (&l->hosts, r->name);
       int64_t seen = h ? h->seen_at : l->led_since;
 
-      if (now - seen > HOST_DROP_US)
+      if (now - seen > SHARE_HOLDER_EXPIRY_US)
         {
-          propose_host (l, r->name, true);
+          propose_host_record (l, r->name, true);
           return;
         }
     }
 }
 
 static bool
-holders_told (const struct cfs_leader *l, int64_t *idle_since)
+all_shares_reported (const struct cfs_leader *l, int64_t *idle_since)
 {
   const struct cfs_table *hosts = &l->state->hosts;
 
@@ -310,7 +310,7 @@
       const struct cfs_host_record *r = cfs_table_at (hosts, i);
       const struct cfs_host *h = cfs_table_find (&l->hosts, r->name);
 
-      if (!h || !h->told_uses)
+      if (!h || !h->shares_reported)
         return false;
       if (h->idle_since > *idle_since)
         *idle_since = h->idle_since;
@@ -319,26 +319,26 @@
 }
 
 static void
-forget_silent (struct cfs_leader *l, int64_t now)
+evict_silent (struct cfs_leader *l, int64_t now)
 {
   for (size_t i = l->hosts.count; i > 0; i--)
     {
       const struct cfs_host *h = cfs_table_at (&l->hosts, i - 1);
 
-      if (now - h->seen_at > HOST_FORGET_US)
+      if (now - h->seen_at > HOST_EXPIRY_US)
         cfs_table_remove (&l->hosts, i - 1);
     }
   for (size_t i = l->instances.count; i > 0; i--)
     {
       const struct cfs_instance *in = cfs_table_at (&l->instances, i - 1);
 
-      if (now - in->seen_at > HOST_FORGET_US)
+      if (now - in->seen_at > HOST_EXPIRY_US)
         cfs_table_remove (&l->instances, i - 1);
     }
 }
 
 static void
-note_instance (struct cfs_leader *l, const Cfs__Instance *in, int64_t now)
+update_instance (struct cfs_leader *l, const Cfs__Instance *in, int64_t now)
 {
   struct cfs_instance *row = cfs_table_add (&l->instances, in->name);
 
@@ -358,7 +358,7 @@
 }
 
 static void
-note_report (struct cfs_leader *l, const Cfs__GroupReport *r)
+handle_group_report (struct cfs_leader *l, const Cfs__GroupReport *r)
 {
   const struct cfs_group *g = cfs_table_find (&l->state->groups, r->group);
   Cfs__Command c = CFS__COMMAND__INIT;
@@ -368,7 +368,7 @@
     return;
   if (r->promoted_term && r->promoted_term == g->granted_term
       && r->promoted_term > g->term && r->epoch == g->granted_epoch)
-    propose_done (l, r->group, r->promoted_term, r->primary, r->start);
+    propose_term_done (l, r->group, r->promoted_term, r->primary, r->start);
   if (!r->want_term
       || (g->granted_term > g->term && g->granted_term > r->used_term
           && g->granted_epoch == r->epoch))
@@ -384,11 +384,11 @@
 /* A host that holds no share has let nothing pass since it was last used,
    and will not before it gets one. */
 static void
-note_uses (struct cfs_host *h, const Cfs__Heartbeat *in, int64_t now)
+record_share_report (struct cfs_host *h, const Cfs__Heartbeat *in, int64_t now)
 {
-  if (in->n_uses == 0 || h->told_uses)
+  if (in->n_uses == 0 || h->shares_reported)
     return;
-  h->told_uses = true;
+  h->shares_reported = true;
   h->idle_since = now - in->idle_us;
   for (size_t i = 0; i < in->n_uses; i++)
     if (in->uses[i]->share > 0)
@@ -396,7 +396,7 @@
 }
 
 static struct cfs_host *
-note_host (struct cfs_leader *l, const Cfs__Heartbeat *in, int64_t now)
+update_host (struct cfs_leader *l, const Cfs__Heartbeat *in, int64_t now)
 {
   struct cfs_host *h = cfs_table_add (&l->hosts, in->host);
 
@@ -417,13 +417,13 @@
   h->suspect_count = 0;
   for (size_t i = 0; i < in->n_suspects && i < HOST_SUSPECTS_MAX; i++)
     cfs_copy (h->suspects[h->suspect_count++], CFS_NAME_MAX, in->suspects[i]);
-  note_uses (h, in, now);
+  record_share_report (h, in, now);
   h->seen_at = now;
   return h;
 }
 
 static void
-note_releases (struct cfs_leader *l, const Cfs__Heartbeat *in)
+record_releases (struct cfs_leader *l, const Cfs__Heartbeat *in)
 {
   for (size_t i = 0; i < in->n_released; i++)
     {
@@ -494,9 +494,9 @@
   if (!ready)
     return;
   reload_conf (l);
-  forget_silent (l, now);
-  check_holders (l, now);
-  if (holders_told (l, &idle_since))
+  evict_silent (l, now);
+  expire_share_holders (l, now);
+  if (all_shares_reported (l, &idle_since))
     cfs_shares_end_grace (&l->shares, idle_since, now);
   discover_groups (l, now);
   place_resources (l, now);
@@ -510,13 +510,13 @@
 
   if (!l->leading || !*in->host)
     return NULL;
-  h = note_host (l, in, now);
-  record_host (l, h, now);
-  note_releases (l, in);
+  h = update_host (l, in, now);
+  ensure_host_recorded (l, h, now);
+  record_releases (l, in);
   for (size_t i = 0; i < in->n_instances; i++)
-    note_instance (l, in->instances[i], now);
+    update_instance (l, in->instances[i], now);
   for (size_t i = 0; i < in->n_reports; i++)
-    note_report (l, in->reports[i]);
+    handle_group_report (l, in->reports[i]);
   cfs__heartbeat_reply__init (&l->rows.msg);
   l->rows.msg.seq = in->seq;
   l->rows.msg.granted = h->fence <= l->applied;
@@ -544,9 +544,9 @@
 }
 
 void
-cfs_leader_serve_documents (struct cfs_leader *l,
-                            const struct cfs_document_decoder *edge,
-                            int64_t lease_us)
+cfs_leader_set_document_decoder (struct cfs_leader *l,
+                                 const struct cfs_document_decoder *edge,
+                                 int64_t lease_us)
 {
   l->edge = edge;
   l->share_wait_us
@@ -555,7 +555,7 @@
 
 void
 cfs_leader_set_members (struct cfs_leader *l,
-                        const struct cfs_members *members)
+                        const struct cfs_raft_membership *members)
 {
   l->members = *members;
 }
@@ -570,8 +570,9 @@
 }
 
 size_t
-cfs_leader_suspected (const struct cfs_leader *l, const char *target,
-                      int64_t now, size_t *hosts)
+cfs_leader_count_suspecting_hosts (const struct cfs_leader *l,
+                                   const char *target, int64_t now,
+                                   size_t *hosts)
 {
   size_t count = 0;
 
--- a/src/process/leader.h
+++ b/src/process/leader.h
@@ -26,7 +26,7 @@
 /* A host silent for longer is given nothing new. */
 #define HOST_FRESH_US (700 * CFS_US_PER_MS)
 /* A host or instance silent for longer is forgotten. */
-#define HOST_FORGET_US (600 * CFS_US_PER_S)
+#define HOST_EXPIRY_US (600 * CFS_US_PER_S)
 /* Announcements are collected this long before a group's first term. */
 #define GROUP_DISCOVERY_US (300 * CFS_US_PER_MS)
 
@@ -61,7 +61,7 @@
   bool draining;
   char suspects[HOST_SUSPECTS_MAX][CFS_NAME_MAX];
   size_t suspect_count;
-  bool told_uses;
+  bool shares_reported;
   int64_t idle_since;
   int64_t recorded_at;
 };
@@ -132,24 +132,26 @@
                           int64_t now);
 
 /**
- * cfs_leader_serve_documents() - configuration by whole documents
+ * cfs_leader_set_document_decoder() - configuration by whole documents
  * @edge: decodes them, must outlive the leader
  * @lease_us: how long a host acts on a version and on its shares
  */
-void cfs_leader_serve_documents (struct cfs_leader *leader,
-                                 const struct cfs_document_decoder *edge,
-                                 int64_t lease_us);
+void cfs_leader_set_document_decoder (struct cfs_leader *leader,
+                                      const struct cfs_document_decoder *edge,
+                                      int64_t lease_us);
 
 /** cfs_leader_set_members() - members of the control group, told to hosts */
 void cfs_leader_set_members (struct cfs_leader *leader,
-                             const struct cfs_members *members);
+                             const struct cfs_raft_membership *members);
 
 /**
- * cfs_leader_suspected() - number of hosts that cannot reach a target
+ * cfs_leader_count_suspecting_hosts() - number of hosts that cannot reach a
+ * target
  * @hosts: set to the number of hosts that are alive
  */
-size_t cfs_leader_suspected (const struct cfs_leader *leader,
-                             const char *target, int64_t now, size_t *hosts);
+size_t cfs_leader_count_suspecting_hosts (const struct cfs_leader *leader,
+                                          const char *target, int64_t now,
+                                          size_t *hosts);
 
 /**
  * cfs_leader_tokens() - grants tokens beyond the shares
--- a/src/process/leader_int.h
+++ b/src/process/leader_int.h
@@ -17,7 +17,7 @@
 };
 
 /* Rows of the reply under construction, kept between calls. */
-struct reply_rows
+struct reply_buffers
 {
   Cfs__HeartbeatReply msg;
   Cfs__Version *versions;
@@ -63,16 +63,16 @@
   uint64_t applied;
   uint64_t assign_index;
   int64_t grace_end;
-  struct reply_rows rows;
+  struct reply_buffers rows;
   const struct cfs_document_decoder *edge;
   struct cfs_catalog *catalog;
   bool read;
-  uint64_t read_version;
+  uint64_t conf_version;
   int64_t share_wait_us;
   int64_t led_since;
-  int64_t holders_at;
+  int64_t holders_checked_at;
   struct cfs_shares shares;
-  struct cfs_members members;
+  struct cfs_raft_membership members;
 };
 
 /** leader_reply_conf() - what a host lacks of the configuration */
@@ -90,6 +90,6 @@
 void leader_reply_end (struct cfs_leader *leader);
 
 /** leader_members_hash() - tells lists of members apart, never 0 */
-uint64_t leader_members_hash (const struct cfs_members *members);
+uint64_t leader_members_hash (const struct cfs_raft_membership *members);
 
 #endif
--- a/src/process/leader_reply.c
+++ b/src/process/leader_reply.c
@@ -29,7 +29,7 @@
 leader_reply_conf (struct cfs_leader *l, uint64_t have)
 {
   const struct cfs_state *s = l->state;
-  struct reply_rows *rows = &l->rows;
+  struct reply_buffers *rows = &l->rows;
   uint64_t need = s->version > have ? s->version - have : 0;
 
   rows->msg.version = s->version;
@@ -66,7 +66,7 @@
 static void
 reply_instances (struct cfs_leader *l, const char *host)
 {
-  struct reply_rows *rows = &l->rows;
+  struct reply_buffers *rows = &l->rows;
 
   reserve (&rows->instances, &rows->instance_list, &rows->instance_cap,
            l->instances.count, sizeof *rows->instances);
@@ -98,7 +98,7 @@
 leader_reply_directory (struct cfs_leader *l, const Cfs__Heartbeat *in)
 {
   const struct cfs_state *s = l->state;
-  struct reply_rows *rows = &l->rows;
+  struct reply_buffers *rows = &l->rows;
 
   rows->msg.directory = s->directory;
   if (in->directory >= s->directory)
@@ -149,7 +149,7 @@
 reply_targets (struct cfs_leader *l, uint64_t have)
 {
   const struct cfs_state *s = l->state;
-  struct reply_rows *rows = &l->rows;
+  struct reply_buffers *rows = &l->rows;
 
   reserve (&rows->targets, &rows->target_list, &rows->target_cap,
            s->targets.count, sizeof *rows->targets);
@@ -171,7 +171,7 @@
 reply_turns (struct cfs_leader *l, uint64_t have)
 {
   const struct cfs_state *s = l->state;
-  struct reply_rows *rows = &l->rows;
+  struct reply_buffers *rows = &l->rows;
 
   reserve (&rows->turns, &rows->turn_list, &rows->turn_cap, s->turns.count,
            sizeof *rows->turns);
@@ -192,7 +192,7 @@
 static void
 reply_shares (struct cfs_leader *l, const Cfs__Heartbeat *in, int64_t now)
 {
-  struct reply_rows *rows = &l->rows;
+  struct reply_buffers *rows = &l->rows;
   const struct cfs_catalog *c = l->catalog;
 
   if (!c || !in->n_uses || !cfs_table_find (&l->state->hosts, in->host))
@@ -224,7 +224,7 @@
 cfs_leader_tokens (struct cfs_leader *l, const Cfs__TokensAsk *ask,
                    int64_t now)
 {
-  struct reply_rows *rows = &l->rows;
+  struct reply_buffers *rows = &l->rows;
 
   cfs__tokens_grant__init (&rows->tokens);
   rows->tokens.sent_at_us = ask->sent_at_us;
@@ -252,7 +252,7 @@
 }
 
 uint64_t
-leader_members_hash (const struct cfs_members *m)
+leader_members_hash (const struct cfs_raft_membership *m)
 {
   uint64_t hash = 1;
 
@@ -264,7 +264,7 @@
 static void
 reply_members (struct cfs_leader *l, uint64_t have)
 {
-  struct reply_rows *rows = &l->rows;
+  struct reply_buffers *rows = &l->rows;
 
   rows->msg.members_hash = leader_members_hash (&l->members);
   if (rows->msg.members_hash == have)
--- a/src/process/raft.c
+++ b/src/process/raft.c
@@ -41,7 +41,7 @@
 bool
 raft_is_voter (const struct cfs_raft *r, uint64_t id)
 {
-  const struct cfs_member *m = raft_member_by_id (r, id);
+  const struct cfs_raft_member *m = raft_find_member (r, id);
 
   return m && m->voter;
 }
@@ -73,7 +73,7 @@
 void
 raft_send_to (const struct cfs_raft *r, const Cfs__RaftMsg *m)
 {
-  const struct cfs_member *to = raft_member_by_id (r, m->to);
+  const struct cfs_raft_member *to = raft_find_member (r, m->to);
 
   if (to)
     r->ops->send (r->ctx, to->host, m);
@@ -92,7 +92,7 @@
 }
 
 void
-raft_follow_leader (struct cfs_raft *r, uint64_t leader, int64_t now)
+raft_become_follower (struct cfs_raft *r, uint64_t leader, int64_t now)
 {
   r->role = RAFT_FOLLOWER;
   r->leader = leader;
@@ -127,17 +127,17 @@
       e->data = cfs_alloc (e->len);
       if (e->len)
         memcpy (e->data, entries[i].data, e->len);
-      members |= e->kind == CFS_ENTRY_MEMBERS;
+      members |= e->kind == CFS_RAFT_ENTRY_MEMBERS;
     }
   if (members)
-    raft_reload_members (r);
+    raft_restore_members (r);
   return CFS_OK;
 }
 
 /* Whether the log is so long, or its applied entries so large, that a
    snapshot is to replace them. */
 static bool
-log_is_large (const struct cfs_raft *r)
+snapshot_is_due (const struct cfs_raft *r)
 {
   size_t bytes = 0;
 
@@ -151,10 +151,10 @@
 static void
 take_snapshot (struct cfs_raft *r)
 {
-  struct cfs_snapshot s = { .index = r->applied };
+  struct cfs_raft_snapshot s = { .index = r->applied };
   size_t keep;
 
-  if (!log_is_large (r) || r->members_index > r->applied)
+  if (!snapshot_is_due (r) || r->members_index > r->applied)
     return;
   s.term = raft_term_at (r, r->applied);
   s.members = r->members;
@@ -180,7 +180,7 @@
     {
       const struct cfs_entry *e = raft_entry_at (r, r->applied + 1);
 
-      if (e->kind == CFS_ENTRY_COMMAND)
+      if (e->kind == CFS_RAFT_ENTRY_COMMAND)
         r->ops->apply (r->ctx, e);
       r->applied++;
     }
@@ -259,7 +259,7 @@
 
 /* The newest of the leader's own times at which a majority supported it. */
 static int64_t
-confirmed_at (const struct cfs_raft *r, int64_t now)
+majority_confirmed_at (const struct cfs_raft *r, int64_t now)
 {
   int64_t best = INT64_MIN;
 
@@ -302,12 +302,12 @@
   raft_apply_committed (r);
   broadcast (r, now);
   if (!raft_is_voter (r, r->id) && r->commit >= r->members_index)
-    raft_follow_leader (r, 0, now);
+    raft_become_follower (r, 0, now);
 }
 
 int
-raft_append_own (struct cfs_raft *r, enum cfs_entry_kind kind,
-                 const uint8_t *data, size_t len, int64_t now)
+raft_append_as_leader (struct cfs_raft *r, enum cfs_raft_entry_kind kind,
+                       const uint8_t *data, size_t len, int64_t now)
 {
   struct cfs_entry e = { .index = raft_last_index (r) + 1,
                          .term = r->term,
@@ -318,7 +318,7 @@
 
   if (rc != CFS_OK)
     {
-      raft_follow_leader (r, 0, now);
+      raft_become_follower (r, 0, now);
       return rc;
     }
   broadcast (r, now);
@@ -338,18 +338,18 @@
       r->peers[i].acked_at = now;
     }
   r->term_start = raft_last_index (r) + 1;
-  raft_append_own (r, CFS_ENTRY_NOOP, NULL, 0, now);
+  raft_append_as_leader (r, CFS_RAFT_ENTRY_NOOP, NULL, 0, now);
 }
 
 static void
 on_append_reply (struct cfs_raft *r, const Cfs__RaftMsg *m, int64_t now)
 {
-  struct raft_peer *p = raft_peer_of (r, m->from);
+  struct raft_peer *p = raft_find_peer (r, m->from);
 
   if (m->term > r->term)
     {
       if (raft_set_term (r, m->term, 0) == CFS_OK)
-        raft_follow_leader (r, 0, now);
+        raft_become_follower (r, 0, now);
       return;
     }
   if (r->role != RAFT_LEADER || m->term != r->term || !p)
@@ -380,7 +380,8 @@
 
 struct cfs_raft *
 cfs_raft_new (const struct cfs_raft_ops *ops, void *ctx,
-              struct cfs_raft_boot *boot, const char *host, int64_t now)
+              struct cfs_raft_initial_state *boot, const char *host,
+              int64_t now)
 {
   struct cfs_raft *r = cfs_alloc (sizeof *r);
 
@@ -400,8 +401,8 @@
   r->elastic = boot->elastic;
   r->clock = now;
   r->heard_at = now;
-  raft_reload_members (r);
-  raft_follow_leader (r, 0, now);
+  raft_restore_members (r);
+  raft_become_follower (r, 0, now);
   if (r->snap.len)
     ops->restore (ctx, r->snap.data, r->snap.len);
   return r;
@@ -422,12 +423,12 @@
 cfs_raft_tick (struct cfs_raft *r, int64_t now)
 {
   r->clock = now;
-  if (!raft_member_by_id (r, r->id) && now >= r->joined_at)
+  if (!raft_find_member (r, r->id) && now >= r->joined_at)
     raft_send_join (r, now);
   if (r->role == RAFT_LEADER)
     {
-      if (now - confirmed_at (r, now) > RAFT_ELECTION_US)
-        raft_follow_leader (r, 0, now);
+      if (now - majority_confirmed_at (r, now) > RAFT_ELECTION_US)
+        raft_become_follower (r, 0, now);
       else if (now >= r->broadcast_at)
         {
           broadcast (r, now);
@@ -449,7 +450,7 @@
   switch (m->type)
     {
     case MSG_PREVOTE:
-      if (r->elastic && !raft_member_by_id (r, m->from))
+      if (r->elastic && !raft_find_member (r, m->from))
         raft_on_join (r, m, now);
       raft_on_prevote (r, m, now);
       break;
@@ -488,7 +489,7 @@
     return CFS_NOT_LEADER;
   if (index)
     *index = raft_last_index (r) + 1;
-  return raft_append_own (r, CFS_ENTRY_COMMAND, data, len, now);
+  return raft_append_as_leader (r, CFS_RAFT_ENTRY_COMMAND, data, len, now);
 }
 
 enum cfs_raft_role
@@ -504,18 +505,18 @@
 }
 
 uint64_t
-cfs_raft_commit (const struct cfs_raft *r)
+cfs_raft_commit_index (const struct cfs_raft *r)
 {
   return r->commit;
 }
 
 uint64_t
-cfs_raft_last (const struct cfs_raft *r)
+cfs_raft_last_index (const struct cfs_raft *r)
 {
   return raft_last_index (r);
 }
 
-const struct cfs_members *
+const struct cfs_raft_membership *
 cfs_raft_members (const struct cfs_raft *r)
 {
   return &r->members;
@@ -524,16 +525,16 @@
 const char *
 cfs_raft_leader (const struct cfs_raft *r)
 {
-  const struct cfs_member *m = raft_member_by_id (r, r->leader);
+  const struct cfs_raft_member *m = raft_find_member (r, r->leader);
 
   return m ? m->host : "";
 }
 
 bool
-cfs_raft_ready (const struct cfs_raft *r, int64_t now)
+cfs_raft_leader_confirmed (const struct cfs_raft *r, int64_t now)
 {
   int64_t window = RAFT_ELECTION_US * (100 - RAFT_DRIFT_PERCENT) / 100;
 
   return r->role == RAFT_LEADER && r->commit >= r->term_start
-         && now - confirmed_at (r, now) < window;
+         && now - majority_confirmed_at (r, now) < window;
 }
--- a/src/process/raft.h
+++ b/src/process/raft.h
@@ -26,30 +26,30 @@
 /* The same by their bytes: whole documents may be large. */
 #define RAFT_SNAPSHOT_BYTES (4u << 20)
 /* A member without an answer for this time counts as silent. */
-#define RAFT_SILENT_US (2 * CFS_US_PER_S)
+#define RAFT_VOTER_SILENT_US (2 * CFS_US_PER_S)
 /* A learner that is silent for this time is dropped; it may join again. */
-#define RAFT_LEARNER_LOST_US (5 * CFS_US_PER_S)
+#define RAFT_LEARNER_SILENT_US (5 * CFS_US_PER_S)
 /* Voters wanted where members find one another: with few members and with
-   at least RAFT_MANY of them. */
-#define RAFT_VOTERS_FEW 3
-#define RAFT_VOTERS_MANY 5
-#define RAFT_MANY 5
+   at least RAFT_LARGE_GROUP of them. */
+#define RAFT_VOTERS_SMALL_GROUP 3
+#define RAFT_VOTERS_LARGE_GROUP 5
+#define RAFT_LARGE_GROUP 5
 /* Entries sent in one append. */
 #define RAFT_BATCH 128
 /* The same by their bytes; an entry that is larger goes alone. */
 #define RAFT_BATCH_BYTES (256u << 10)
 
 /**
- * enum cfs_entry_kind - what a log entry holds
- * @CFS_ENTRY_NOOP: empty entry that opens a leader's term
- * @CFS_ENTRY_COMMAND: packed command of the state machine
- * @CFS_ENTRY_MEMBERS: packed list of members
+ * enum cfs_raft_entry_kind - what a log entry holds
+ * @CFS_RAFT_ENTRY_NOOP: empty entry that opens a leader's term
+ * @CFS_RAFT_ENTRY_COMMAND: packed command of the state machine
+ * @CFS_RAFT_ENTRY_MEMBERS: packed list of members
  */
-enum cfs_entry_kind
+enum cfs_raft_entry_kind
 {
-  CFS_ENTRY_NOOP = 0,
-  CFS_ENTRY_COMMAND = 1,
-  CFS_ENTRY_MEMBERS = 2
+  CFS_RAFT_ENTRY_NOOP = 0,
+  CFS_RAFT_ENTRY_COMMAND = 1,
+  CFS_RAFT_ENTRY_MEMBERS = 2
 };
 
 /** struct cfs_entry - one entry; @data is owned by whoever holds the array */
@@ -62,8 +62,8 @@
   uint8_t *data;
 };
 
-/** struct cfs_member - one voter or learner of the group */
-struct cfs_member
+/** struct cfs_raft_member - one voter or learner of the group */
+struct cfs_raft_member
 {
   uint64_t id;
   char host[CFS_NAME_MAX];
@@ -72,19 +72,19 @@
 
 #define RAFT_MEMBERS_MAX 16
 
-/** struct cfs_members - the members that the log knows, by value */
-struct cfs_members
+/** struct cfs_raft_membership - the members that the log knows, by value */
+struct cfs_raft_membership
 {
-  struct cfs_member at[RAFT_MEMBERS_MAX];
+  struct cfs_raft_member at[RAFT_MEMBERS_MAX];
   size_t count;
 };
 
-/** struct cfs_snapshot - state machine image up to and with @index */
-struct cfs_snapshot
+/** struct cfs_raft_snapshot - state machine image up to and with @index */
+struct cfs_raft_snapshot
 {
   uint64_t index;
   uint64_t term;
-  struct cfs_members members;
+  struct cfs_raft_membership members;
   uint8_t *data;
   size_t len;
 };
@@ -109,7 +109,7 @@
   int (*save_vote) (void *ctx, uint64_t term, uint64_t vote);
   int (*append) (void *ctx, const struct cfs_entry *entries, size_t count);
   int (*truncate) (void *ctx, uint64_t from);
-  int (*save_snapshot) (void *ctx, const struct cfs_snapshot *snapshot);
+  int (*save_snapshot) (void *ctx, const struct cfs_raft_snapshot *snapshot);
   void (*send) (void *ctx, const char *host, const Cfs__RaftMsg *msg);
   void (*apply) (void *ctx, const struct cfs_entry *entry);
   void (*restore) (void *ctx, const uint8_t *data, size_t len);
@@ -125,18 +125,18 @@
 };
 
 /**
- * struct cfs_raft_boot - what was on disk, or the first members
+ * struct cfs_raft_initial_state - what was on disk, or the first members
  * @elastic: members find one another: the group keeps an odd number of
  * voters and replaces silent ones by learners that have caught up; without
  * it every learner becomes a voter and stays one
  */
-struct cfs_raft_boot
+struct cfs_raft_initial_state
 {
   bool elastic;
   uint64_t id;
   uint64_t term;
   uint64_t vote;
-  struct cfs_snapshot snapshot;
+  struct cfs_raft_snapshot snapshot;
   struct cfs_entry *entries;
   size_t count;
   uint64_t seed;
@@ -154,8 +154,8 @@
  * Return: the log, freed by cfs_raft_free().
  */
 struct cfs_raft *cfs_raft_new (const struct cfs_raft_ops *ops, void *ctx,
-                               struct cfs_raft_boot *boot, const char *host,
-                               int64_t now);
+                               struct cfs_raft_initial_state *boot,
+                               const char *host, int64_t now);
 
 /** cfs_raft_free() - frees the log and all entries in memory */
 void cfs_raft_free (struct cfs_raft *raft);
@@ -199,26 +199,28 @@
 /** cfs_raft_term() - the present term */
 uint64_t cfs_raft_term (const struct cfs_raft *raft);
 
-/** cfs_raft_commit() - index up to which entries are committed */
-uint64_t cfs_raft_commit (const struct cfs_raft *raft);
+/** cfs_raft_commit_index() - index up to which entries are committed */
+uint64_t cfs_raft_commit_index (const struct cfs_raft *raft);
 
-/** cfs_raft_last() - index of the last entry in the log */
-uint64_t cfs_raft_last (const struct cfs_raft *raft);
+/** cfs_raft_last_index() - index of the last entry in the log */
+uint64_t cfs_raft_last_index (const struct cfs_raft *raft);
 
 /** cfs_raft_members() - the present members; valid until the next call */
-const struct cfs_members *cfs_raft_members (const struct cfs_raft *raft);
+const struct cfs_raft_membership *
+cfs_raft_members (const struct cfs_raft *raft);
 
 /** cfs_raft_leader() - host name of the known leader, "" when none */
 const char *cfs_raft_leader (const struct cfs_raft *raft);
 
 /**
- * cfs_raft_ready() - whether this host leads and has applied its own term
+ * cfs_raft_leader_confirmed() - whether this host leads and has applied its
+ * own term
  * @raft: the log
  * @now: time
  *
  * True only while a majority has confirmed the leadership recently enough
  * that no other leader can exist, with the drift allowance.
  */
-bool cfs_raft_ready (const struct cfs_raft *raft, int64_t now);
+bool cfs_raft_leader_confirmed (const struct cfs_raft *raft, int64_t now);
 
 #endif
--- a/src/process/raft_follow.c
+++ b/src/process/raft_follow.c
@@ -32,7 +32,7 @@
     }
   if (m->term > r->term && raft_set_term (r, m->term, 0) != CFS_OK)
     return false;
-  raft_follow_leader (r, m->from, now);
+  raft_become_follower (r, m->from, now);
   r->heard_at = now;
   return true;
 }
@@ -61,7 +61,7 @@
       if (rc != CFS_OK)
         return rc;
       raft_drop_entries (r, m->entries[i]->index);
-      raft_reload_members (r);
+      raft_restore_members (r);
     }
   for (; i < m->n_entries; i++, n++)
     {
@@ -106,7 +106,7 @@
 void
 raft_on_snapshot (struct cfs_raft *r, const Cfs__RaftMsg *m, int64_t now)
 {
-  struct cfs_snapshot s = { .index = m->index, .term = m->log_term };
+  struct cfs_raft_snapshot s = { .index = m->index, .term = m->log_term };
   struct cfs_entry members;
 
   if (!follow (r, m, now) || m->n_entries != 1)
@@ -142,7 +142,7 @@
   r->snap = s;
   r->commit = s.index;
   r->applied = s.index;
-  raft_reload_members (r);
+  raft_restore_members (r);
   r->ops->restore (r->ctx, s.data, s.len);
   reply_append (r, m, false, s.index);
 }
--- a/src/process/raft_int.h
+++ b/src/process/raft_int.h
@@ -42,13 +42,13 @@
   enum cfs_raft_role role;
   uint64_t term;
   uint64_t vote;
-  struct cfs_snapshot snap;
+  struct cfs_raft_snapshot snap;
   struct cfs_entry *log;
   size_t count;
   size_t cap;
   uint64_t commit;
   uint64_t applied;
-  struct cfs_members members;
+  struct cfs_raft_membership members;
   uint64_t members_index;
   struct raft_peer peers[RAFT_MEMBERS_MAX];
   uint64_t leader;
@@ -60,7 +60,7 @@
   uint64_t term_start;
   uint64_t seed;
   bool elastic;
-  int64_t surplus_since;
+  int64_t surplus_voters_since;
 };
 
 /** raft_last_index() - index of the last entry */
@@ -81,8 +81,9 @@
 /** raft_set_term() - makes term and vote durable; CFS_OK when done */
 int raft_set_term (struct cfs_raft *raft, uint64_t term, uint64_t vote);
 
-/** raft_follow_leader() - stops leading; @leader may be 0 */
-void raft_follow_leader (struct cfs_raft *raft, uint64_t leader, int64_t now);
+/** raft_become_follower() - stops leading; @leader may be 0 */
+void raft_become_follower (struct cfs_raft *raft, uint64_t leader,
+                           int64_t now);
 
 /** raft_become_leader() - after an election was won */
 void raft_become_leader (struct cfs_raft *raft, int64_t now);
@@ -130,26 +131,28 @@
 void raft_on_snapshot (struct cfs_raft *raft, const Cfs__RaftMsg *msg,
                        int64_t now);
 
-/** raft_append_own() - appends an entry on the leader */
-int raft_append_own (struct cfs_raft *raft, enum cfs_entry_kind kind,
-                     const uint8_t *data, size_t len, int64_t now);
+/** raft_append_as_leader() - appends an entry on the leader */
+int raft_append_as_leader (struct cfs_raft *raft,
+                           enum cfs_raft_entry_kind kind, const uint8_t *data,
+                           size_t len, int64_t now);
 
-/** raft_member_by_id() - member of this identity, or NULL */
-const struct cfs_member *raft_member_by_id (const struct cfs_raft *raft,
-                                            uint64_t id);
+/** raft_find_member() - member of this identity, or NULL */
+const struct cfs_raft_member *raft_find_member (const struct cfs_raft *raft,
+                                                uint64_t id);
 
-/** raft_peer_of() - what is known of a member, or NULL */
-struct raft_peer *raft_peer_of (struct cfs_raft *raft, uint64_t id);
+/** raft_find_peer() - what is known of a member, or NULL */
+struct raft_peer *raft_find_peer (struct cfs_raft *raft, uint64_t id);
 
 /** raft_unpack_members() - members of an entry; false when malformed */
 bool raft_unpack_members (const struct cfs_entry *entry,
-                          struct cfs_members *out);
+                          struct cfs_raft_membership *out);
 
 /** raft_pack_members() - packs members into memory that the caller frees */
-size_t raft_pack_members (const struct cfs_members *members, uint8_t **data);
+size_t raft_pack_members (const struct cfs_raft_membership *members,
+                          uint8_t **data);
 
-/** raft_reload_members() - finds the last list of members in the log */
-void raft_reload_members (struct cfs_raft *raft);
+/** raft_restore_members() - finds the last list of members in the log */
+void raft_restore_members (struct cfs_raft *raft);
 
 /** raft_send_join() - asks every member to be taken in */
 void raft_send_join (struct cfs_raft *raft, int64_t now);
--- a/src/process/raft_member.c
+++ b/src/process/raft_member.c
@@ -8,8 +8,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-const struct cfs_member *
-raft_member_by_id (const struct cfs_raft *r, uint64_t id)
+const struct cfs_raft_member *
+raft_find_member (const struct cfs_raft *r, uint64_t id)
 {
   for (size_t i = 0; i < r->members.count; i++)
     if (r->members.at[i].id == id)
@@ -18,7 +18,7 @@
 }
 
 struct raft_peer *
-raft_peer_of (struct cfs_raft *r, uint64_t id)
+raft_find_peer (struct cfs_raft *r, uint64_t id)
 {
   for (size_t i = 0; i < r->members.count; i++)
     if (r->members.at[i].id == id)
@@ -27,7 +27,8 @@
 }
 
 bool
-raft_unpack_members (const struct cfs_entry *e, struct cfs_members *out)
+raft_unpack_members (const struct cfs_entry *e,
+                     struct cfs_raft_membership *out)
 {
   Cfs__Members *m = cfs__members__unpack (NULL, e->len, e->data);
 
@@ -49,7 +50,7 @@
 }
 
 size_t
-raft_pack_members (const struct cfs_members *in, uint8_t **data)
+raft_pack_members (const struct cfs_raft_membership *in, uint8_t **data)
 {
   Cfs__Member rows[RAFT_MEMBERS_MAX];
   Cfs__Member *list[RAFT_MEMBERS_MAX];
@@ -74,14 +75,14 @@
 
 /* Takes over a list of members and keeps what is known of each peer. */
 static void
-set_members (struct cfs_raft *r, const struct cfs_members *members,
+set_members (struct cfs_raft *r, const struct cfs_raft_membership *members,
              uint64_t index)
 {
   struct raft_peer kept[RAFT_MEMBERS_MAX];
 
   for (size_t i = 0; i < members->count; i++)
     {
-      struct raft_peer *old = raft_peer_of (r, members->at[i].id);
+      struct raft_peer *old = raft_find_peer (r, members->at[i].id);
 
       memset (&kept[i], 0, sizeof kept[i]);
       if (old)
@@ -101,15 +102,15 @@
 /* Finds the last list of members in the log after a truncation or a start.
    Invariant of the loop: entries above i hold no list of members. */
 void
-raft_reload_members (struct cfs_raft *r)
+raft_restore_members (struct cfs_raft *r)
 {
-  struct cfs_members found;
+  struct cfs_raft_membership found;
 
   for (uint64_t i = raft_last_index (r); i > r->snap.index; i--)
     {
       const struct cfs_entry *e = raft_entry_at (r, i);
 
-      if (e->kind == CFS_ENTRY_MEMBERS && raft_unpack_members (e, &found))
+      if (e->kind == CFS_RAFT_ENTRY_MEMBERS && raft_unpack_members (e, &found))
         {
           set_members (r, &found, i);
           return;
@@ -135,26 +136,26 @@
 }
 
 static int
-change_members (struct cfs_raft *r, const struct cfs_members *next,
+change_members (struct cfs_raft *r, const struct cfs_raft_membership *next,
                 int64_t now)
 {
   uint8_t *data;
   size_t len = raft_pack_members (next, &data);
-  int rc = raft_append_own (r, CFS_ENTRY_MEMBERS, data, len, now);
+  int rc = raft_append_as_leader (r, CFS_RAFT_ENTRY_MEMBERS, data, len, now);
 
   free (data);
   return rc;
 }
 
 static bool
-may_change (const struct cfs_raft *r)
+can_change_members (const struct cfs_raft *r)
 {
   return r->role == RAFT_LEADER && r->commit >= r->term_start
          && r->members_index <= r->commit;
 }
 
 static bool
-learner_exists (const struct cfs_raft *r)
+has_learner (const struct cfs_raft *r)
 {
   for (size_t i = 0; i < r->members.count; i++)
     if (!r->members.at[i].voter)
@@ -165,7 +166,7 @@
 /* Whether a learner is still catching up; in an elastic group those that
    have caught up may stay learners. */
 static bool
-repair_runs (const struct cfs_raft *r)
+learner_is_catching_up (const struct cfs_raft *r)
 {
   for (size_t i = 0; i < r->members.count; i++)
     if (!r->members.at[i].voter
@@ -179,7 +180,7 @@
 static void
 forward_join (const struct cfs_raft *r, const Cfs__RaftMsg *m)
 {
-  const struct cfs_member *leader = raft_member_by_id (r, r->leader);
+  const struct cfs_raft_member *leader = raft_find_member (r, r->leader);
   Cfs__RaftMsg copy = *m;
 
   if (!r->elastic || !leader || r->leader == r->id || m->round > 0)
@@ -194,18 +195,18 @@
 void
 raft_on_join (struct cfs_raft *r, const Cfs__RaftMsg *m, int64_t now)
 {
-  struct cfs_members next = r->members;
+  struct cfs_raft_membership next = r->members;
   size_t i;
 
   if (r->role != RAFT_LEADER)
     forward_join (r, m);
-  if (!may_change (r) || raft_member_by_id (r, m->from))
+  if (!can_change_members (r) || raft_find_member (r, m->from))
     return;
   for (i = 0; i < next.count; i++)
     if (strcmp (next.at[i].host, m->host) == 0)
       break;
-  if (i == next.count ? repair_runs (r)
-                      : next.at[i].voter && learner_exists (r))
+  if (i == next.count ? learner_is_catching_up (r)
+                      : next.at[i].voter && has_learner (r))
     return;
   if (i < next.count)
     {
@@ -243,14 +244,14 @@
 
 /* A voter that is silent or leaves, or the number of members. */
 static size_t
-find_failing_voter (const struct cfs_raft *r, int64_t now)
+find_replaceable_voter (const struct cfs_raft *r, int64_t now)
 {
   size_t i = 0;
 
-  while (
-      i < r->members.count
-      && (!r->members.at[i].voter
-          || !(r->peers[i].leaving || is_silent (r, i, RAFT_SILENT_US, now))))
+  while (i < r->members.count
+         && (!r->members.at[i].voter
+             || !(r->peers[i].leaving
+                  || is_silent (r, i, RAFT_VOTER_SILENT_US, now))))
     i++;
   return i;
 }
@@ -266,19 +267,20 @@
 }
 
 static size_t
-voters_wanted (const struct cfs_raft *r, int64_t now)
+desired_voters (const struct cfs_raft *r, int64_t now)
 {
   size_t alive = 0;
 
   for (size_t i = 0; i < r->members.count; i++)
-    alive += !is_silent (r, i, RAFT_LEARNER_LOST_US, now);
-  return alive >= RAFT_MANY ? RAFT_VOTERS_MANY : RAFT_VOTERS_FEW;
+    alive += !is_silent (r, i, RAFT_LEARNER_SILENT_US, now);
+  return alive >= RAFT_LARGE_GROUP ? RAFT_VOTERS_LARGE_GROUP
+                                   : RAFT_VOTERS_SMALL_GROUP;
 }
 
 static void
 remove_member (struct cfs_raft *r, size_t i, int64_t now)
 {
-  struct cfs_members next = r->members;
+  struct cfs_raft_membership next = r->members;
 
   next.at[i] = next.at[next.count - 1];
   next.count--;
@@ -290,14 +292,14 @@
 static size_t
 find_surplus_voter (struct cfs_raft *r, int64_t now)
 {
-  size_t failing = find_failing_voter (r, now);
+  size_t failing = find_replaceable_voter (r, now);
   size_t last = r->members.count;
 
   if (failing < r->members.count)
     return failing;
-  if (!r->surplus_since)
-    r->surplus_since = now;
-  if (now - r->surplus_since < RAFT_LEARNER_LOST_US)
+  if (!r->surplus_voters_since)
+    r->surplus_voters_since = now;
+  if (now - r->surplus_voters_since < RAFT_LEARNER_SILENT_US)
     return r->members.count;
   for (size_t i = 0; i < r->members.count; i++)
     if (r->members.at[i].voter && r->members.at[i].id != r->id)
@@ -306,19 +308,19 @@
 }
 
 static void
-maintain_elastic (struct cfs_raft *r, size_t learner, int64_t now)
+maintain_voters (struct cfs_raft *r, size_t learner, int64_t now)
 {
   size_t voters = count_voters (r);
-  size_t wanted = voters_wanted (r, now);
-  bool fails = find_failing_voter (r, now) < r->members.count;
+  size_t wanted = desired_voters (r, now);
+  bool fails = find_replaceable_voter (r, now) < r->members.count;
   size_t i;
 
   if (voters <= wanted)
-    r->surplus_since = 0;
+    r->surplus_voters_since = 0;
   if (learner < r->members.count
       && (voters < wanted || (voters == wanted && fails)))
     {
-      struct cfs_members next = r->members;
+      struct cfs_raft_membership next = r->members;
 
       next.at[learner].voter = true;
       change_members (r, &next, now);
@@ -326,7 +328,8 @@
     }
   i = voters > wanted ? find_surplus_voter (r, now) : r->members.count;
   for (size_t j = 0; i == r->members.count && j < r->members.count; j++)
-    if (!r->members.at[j].voter && is_silent (r, j, RAFT_LEARNER_LOST_US, now))
+    if (!r->members.at[j].voter
+        && is_silent (r, j, RAFT_LEARNER_SILENT_US, now))
       i = j;
   if (i < r->members.count)
     remove_member (r, i, now);
@@ -335,14 +338,14 @@
 void
 raft_maintain_members (struct cfs_raft *r, int64_t now)
 {
-  struct cfs_members next = r->members;
+  struct cfs_raft_membership next = r->members;
   size_t learner;
 
-  if (!may_change (r))
+  if (!can_change_members (r))
     return;
   learner = find_ready_learner (r, now);
   if (r->elastic)
-    maintain_elastic (r, learner, now);
+    maintain_voters (r, learner, now);
   else if (learner < r->members.count)
     {
       next.at[learner].voter = true;
@@ -353,7 +356,7 @@
 void
 raft_on_leave (struct cfs_raft *r, const Cfs__RaftMsg *m)
 {
-  struct raft_peer *p = raft_peer_of (r, m->from);
+  struct raft_peer *p = raft_find_peer (r, m->from);
 
   if (p)
     p->leaving = true;
@@ -362,13 +365,13 @@
 bool
 cfs_raft_leave (struct cfs_raft *r, int64_t now)
 {
-  const struct cfs_member *self = raft_member_by_id (r, r->id);
-  struct raft_peer *p = raft_peer_of (r, r->id);
+  const struct cfs_raft_member *self = raft_find_member (r, r->id);
+  struct raft_peer *p = raft_find_peer (r, r->id);
   Cfs__RaftMsg m;
 
   (void)now;
   if (!self || !self->voter
-      || (!learner_exists (r) && count_voters (r) <= RAFT_VOTERS_FEW))
+      || (!has_learner (r) && count_voters (r) <= RAFT_VOTERS_SMALL_GROUP))
     return false;
   p->leaving = true;
   raft_init_msg (r, &m, MSG_LEAVE, r->leader);
--- a/src/process/raft_vote.c
+++ b/src/process/raft_vote.c
@@ -13,7 +13,7 @@
 }
 
 static void
-ask_votes (struct cfs_raft *r, enum raft_msg_type type, uint64_t term)
+request_votes (struct cfs_raft *r, enum raft_msg_type type, uint64_t term)
 {
   for (size_t i = 0; i < r->members.count; i++)
     {
@@ -41,16 +41,16 @@
 }
 
 static void
-start_vote (struct cfs_raft *r, int64_t now)
+start_election (struct cfs_raft *r, int64_t now)
 {
   r->election_at = now + raft_election_delay (r);
   if (raft_set_term (r, r->term + 1, r->id) != CFS_OK)
     {
-      raft_follow_leader (r, 0, now);
+      raft_become_follower (r, 0, now);
       return;
     }
   r->role = RAFT_CANDIDATE;
-  ask_votes (r, MSG_VOTE, r->term);
+  request_votes (r, MSG_VOTE, r->term);
   if (won (r))
     raft_become_leader (r, now);
 }
@@ -63,13 +63,13 @@
   r->election_at
       = now + RAFT_RETRY_US
         + (int64_t)(cfs_random (&r->seed) % (uint64_t)RAFT_RETRY_US);
-  ask_votes (r, MSG_PREVOTE, r->term + 1);
+  request_votes (r, MSG_PREVOTE, r->term + 1);
   if (won (r))
-    start_vote (r, now);
+    start_election (r, now);
 }
 
 static bool
-log_is_current (const struct cfs_raft *r, const Cfs__RaftMsg *m)
+candidate_log_is_current (const struct cfs_raft *r, const Cfs__RaftMsg *m)
 {
   uint64_t term = raft_term_at (r, raft_last_index (r));
 
@@ -79,7 +79,7 @@
 }
 
 static bool
-heard_recently (const struct cfs_raft *r, int64_t now)
+heard_leader_recently (const struct cfs_raft *r, int64_t now)
 {
   return r->role == RAFT_LEADER || now - r->heard_at < RAFT_ELECTION_US;
 }
@@ -90,8 +90,8 @@
   Cfs__RaftMsg reply;
 
   raft_init_msg (r, &reply, MSG_PREVOTE_REPLY, m->from);
-  reply.reject = heard_recently (r, now) || m->term <= r->term
-                 || !log_is_current (r, m);
+  reply.reject = heard_leader_recently (r, now) || m->term <= r->term
+                 || !candidate_log_is_current (r, m);
   reply.term = reply.reject ? r->term : m->term;
   r->ops->send (r->ctx, m->host, &reply);
 }
@@ -102,12 +102,12 @@
   Cfs__RaftMsg reply;
   bool grant;
 
-  if (heard_recently (r, now))
+  if (heard_leader_recently (r, now))
     return;
   if (m->term > r->term && raft_set_term (r, m->term, 0) == CFS_OK)
-    raft_follow_leader (r, 0, now);
+    raft_become_follower (r, 0, now);
   grant = m->term == r->term && (r->vote == 0 || r->vote == m->from)
-          && log_is_current (r, m);
+          && candidate_log_is_current (r, m);
   if (grant && r->vote == 0 && raft_set_term (r, r->term, m->from) != CFS_OK)
     return;
   if (grant)
@@ -121,12 +121,12 @@
 raft_on_vote_reply (struct cfs_raft *r, const Cfs__RaftMsg *m, int64_t now)
 {
   bool pre = m->type == MSG_PREVOTE_REPLY;
-  struct raft_peer *p = raft_peer_of (r, m->from);
+  struct raft_peer *p = raft_find_peer (r, m->from);
 
   if (m->reject && m->term > r->term)
     {
       if (raft_set_term (r, m->term, 0) == CFS_OK)
-        raft_follow_leader (r, 0, now);
+        raft_become_follower (r, 0, now);
       return;
     }
   if (!p || m->reject)
@@ -139,7 +139,7 @@
   if (!won (r))
     return;
   if (pre)
-    start_vote (r, now);
+    start_election (r, now);
   else
     raft_become_leader (r, now);
 }
--- a/src/process/state.c
+++ b/src/process/state.c
@@ -80,7 +80,7 @@
   GError *error = NULL;
   char *document;
 
-  if (cfs_state_result (s, p->request_id))
+  if (cfs_state_find_result (s, p->request_id))
     return;
   if (p->base_version != s->version)
     {
@@ -116,8 +116,8 @@
 
 /* An assignment holds only when it follows on the epoch it was made for. */
 static void
-apply_assign (struct cfs_state *s, const Cfs__AssignBatch *batch,
-              uint64_t index)
+apply_assignments (struct cfs_state *s, const Cfs__AssignBatch *batch,
+                   uint64_t index)
 {
   for (size_t i = 0; i < batch->n_assignment; i++)
     {
@@ -133,7 +133,7 @@
 }
 
 static void
-apply_grant (struct cfs_state *s, const Cfs__TermGrant *g, uint64_t index)
+apply_term_grant (struct cfs_state *s, const Cfs__TermGrant *g, uint64_t index)
 {
   struct cfs_group *group = cfs_table_find (&s->groups, g->group);
   char resource[CFS_NAME_MAX];
@@ -154,7 +154,7 @@
 /* The first term of a group is taken as announced; each later one must have
    been granted. */
 static void
-apply_done (struct cfs_state *s, const Cfs__TermDone *d, uint64_t index)
+apply_term_done (struct cfs_state *s, const Cfs__TermDone *d, uint64_t index)
 {
   struct cfs_group *group = cfs_table_find (&s->groups, d->group);
 
@@ -194,7 +194,7 @@
 }
 
 static void
-apply_host (struct cfs_state *s, const Cfs__HostRecord *h)
+apply_host_record (struct cfs_state *s, const Cfs__HostRecord *h)
 {
   if (*h->name && !h->gone)
     cfs_table_add (&s->hosts, h->name);
@@ -249,13 +249,13 @@
       apply_patch (s, c->patch);
       break;
     case CFS__COMMAND__BODY_ASSIGN:
-      apply_assign (s, c->assign, index);
+      apply_assignments (s, c->assign, index);
       break;
     case CFS__COMMAND__BODY_GRANT:
-      apply_grant (s, c->grant, index);
+      apply_term_grant (s, c->grant, index);
       break;
     case CFS__COMMAND__BODY_DONE:
-      apply_done (s, c->done, index);
+      apply_term_done (s, c->done, index);
       break;
     case CFS__COMMAND__BODY_DOCUMENT:
       apply_document (s, c->document);
@@ -265,7 +265,7 @@
         s->directory = index;
       break;
     case CFS__COMMAND__BODY_HOST:
-      apply_host (s, c->host);
+      apply_host_record (s, c->host);
       break;
     case CFS__COMMAND__BODY_TURN:
       if (cfs_failovers_apply (&s->turns, c->turn, index))
@@ -279,7 +279,7 @@
 }
 
 const struct cfs_patch_result *
-cfs_state_result (const struct cfs_state *s, const char *request_id)
+cfs_state_find_result (const struct cfs_state *s, const char *request_id)
 {
   for (size_t i = s->result_count; i > 0; i--)
     if (strcmp (s->results[i - 1].request_id, request_id) == 0)
@@ -468,7 +468,7 @@
 }
 
 size_t
-cfs_state_image (const struct cfs_state *s, uint8_t **data)
+cfs_state_serialize (const struct cfs_state *s, uint8_t **data)
 {
   Cfs__Snapshot m = CFS__SNAPSHOT__INIT;
   struct image im;
--- a/src/process/state.h
+++ b/src/process/state.h
@@ -119,13 +119,13 @@
                      uint64_t index);
 
 /**
- * cfs_state_image() - packs the state
+ * cfs_state_serialize() - packs the state
  * @state: state
  * @data: set to memory that the caller frees
  *
  * Return: number of bytes.
  */
-size_t cfs_state_image (const struct cfs_state *state, uint8_t **data);
+size_t cfs_state_serialize (const struct cfs_state *state, uint8_t **data);
 
 /**
  * cfs_state_restore() - replaces the state by an image
@@ -135,9 +135,9 @@
 int cfs_state_restore (struct cfs_state *state, const uint8_t *data,
                        size_t len);
 
-/** cfs_state_result() - first answer to a request id, or NULL */
-const struct cfs_patch_result *cfs_state_result (const struct cfs_state *state,
-                                                 const char *request_id);
+/** cfs_state_find_result() - first answer to a request id, or NULL */
+const struct cfs_patch_result *
+cfs_state_find_result (const struct cfs_state *state, const char *request_id);
 
 /** cfs_lease_message() - fills a message with pointers into @lease */
 void cfs_lease_message (const struct cfs_lease *lease, Cfs__Assignment *out);
--- a/src/request/entry.c
+++ b/src/request/entry.c
@@ -142,7 +142,7 @@
 {
   struct cfs_entry *e = ctx;
   const struct cfs_lease *l
-      = cfs_directory_holder (e->setup.directory, LIMIT_PREFIX, team);
+      = cfs_directory_find_lease (e->setup.directory, LIMIT_PREFIX, team);
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__TokenAsk msg = CFS__TOKEN_ASK__INIT;
 
@@ -280,9 +280,9 @@
 {
   const struct cfs_directory *d = er->entry->setup.directory;
   const struct cfs_lease *gate
-      = cfs_directory_holder (d, GATE_PREFIX, er->group);
+      = cfs_directory_find_lease (d, GATE_PREFIX, er->group);
 
-  if (!cfs_directory_leased (d, now))
+  if (!cfs_directory_has_lease (d, now))
     return;
   if (!key_still_valid (er))
     {
@@ -405,7 +405,7 @@
 static void
 follow_gate_lease (struct entry_request *er, int64_t now)
 {
-  const struct cfs_lease *gate = cfs_directory_holder (
+  const struct cfs_lease *gate = cfs_directory_find_lease (
       er->entry->setup.directory, GATE_PREFIX, er->group);
 
   if (!gate || gate->epoch <= er->sent_epoch)
@@ -429,8 +429,8 @@
 static enum cfs_code
 timeout_code (const struct entry_request *er)
 {
-  bool held = cfs_directory_holder (er->entry->setup.directory, GATE_PREFIX,
-                                    er->group);
+  bool held = cfs_directory_find_lease (er->entry->setup.directory,
+                                        GATE_PREFIX, er->group);
 
   return held ? CFS_CODE_DEADLINE : CFS_CODE_NO_TARGET;
 }
@@ -511,7 +511,7 @@
                           "coltsfootstage_config_version %" PRIu64 "\n"
                           "coltsfootstage_leased %d\n",
                           e->open, d->conf ? d->conf->version : 0,
-                          cfs_directory_leased (d, cfs_now ()));
+                          cfs_directory_has_lease (d, cfs_now ()));
   e->setup.metrics (e->setup.ctx, out);
   a.body = out->str;
   cfs_http_respond (call, &a);
@@ -563,8 +563,8 @@
     respond_health (call, true);
   else if (strcmp (path, "/readyz") == 0)
     respond_health (
-        call,
-        !e->draining && cfs_directory_leased (e->setup.directory, cfs_now ()));
+        call, !e->draining
+                  && cfs_directory_has_lease (e->setup.directory, cfs_now ()));
   else if (strcmp (path, "/metrics") == 0)
     respond_metrics (e, call);
   else
--- a/src/request/entry_operator.c
+++ b/src/request/entry_operator.c
@@ -106,7 +106,7 @@
 send_to_gate (struct cfs_entry *e, const Cfs__Instance *in)
 {
   const struct cfs_lease *gate
-      = cfs_directory_holder (e->setup.directory, GATE_PREFIX, in->group);
+      = cfs_directory_find_lease (e->setup.directory, GATE_PREFIX, in->group);
   Cfs__Peer out = CFS__PEER__INIT;
 
   if (!gate)
--- a/src/request/entry_statement.c
+++ b/src/request/entry_statement.c
@@ -327,7 +327,7 @@
       cfs_http_respond (call, &a);
       return;
     }
-  if (!cfs_directory_leased (e->setup.directory, cfs_now ()))
+  if (!cfs_directory_has_lease (e->setup.directory, cfs_now ()))
     {
       entry_problem (e, call, CFS_CODE_NO_LEASE, CFS_NOT_RUN,
                      "this host is cut off from the control group");
--- a/src/request/gates.c
+++ b/src/request/gates.c
@@ -230,7 +230,7 @@
                   int64_t now)
 {
   const char *name = lease->resource + strlen (GATE_PREFIX);
-  bool own = cfs_directory_is_own (g->setup.directory, lease);
+  bool own = cfs_directory_holds_lease (g->setup.directory, lease);
   struct local_gate *local = find_gate (g, name);
   uint64_t epoch = own ? lease->epoch : 0;
 
@@ -258,7 +258,7 @@
   const char *name = lease->resource + strlen (LIMIT_PREFIX);
   const struct cfs_conf *conf = g->setup.directory->conf;
   const struct cfs_team *team = conf ? cfs_conf_team (conf, name) : NULL;
-  bool own = cfs_directory_is_own (g->setup.directory, lease) && team;
+  bool own = cfs_directory_holds_lease (g->setup.directory, lease) && team;
   struct local_limiter *limiter;
 
   if (!own && !cfs_table_find (&g->limits, name))
@@ -408,7 +408,7 @@
   grant.id = in->id;
   grant.team = in->team;
   grant.moved = !limiter || limiter->released || limiter->epoch != in->epoch
-                || !cfs_directory_leased (g->setup.directory, now);
+                || !cfs_directory_has_lease (g->setup.directory, now);
   if (!grant.moved)
     {
       grant.count = cfs_bucket_take (&limiter->bucket, in->count, now, &retry);
--- a/tests/unit/control_random.c
+++ b/tests/unit/control_random.c
@@ -34,7 +34,7 @@
 is_whole (struct world_control *w)
 {
   int leader = wc_ready (w);
-  const struct cfs_members *m;
+  const struct cfs_raft_membership *m;
   size_t voters = 0;
 
   if (leader < 0)
@@ -44,8 +44,8 @@
     voters += m->at[i].voter;
   for (unsigned i = 0; i < WC_VOTERS; i++)
     if (!w->hosts[i].alive
-        || cfs_raft_commit (w->hosts[i].raft)
-               < cfs_raft_commit (w->hosts[leader].raft))
+        || cfs_raft_commit_index (w->hosts[i].raft)
+               < cfs_raft_commit_index (w->hosts[leader].raft))
       return false;
   return voters == WC_VOTERS && m->count == WC_VOTERS;
 }
@@ -159,15 +159,16 @@
   if (fault && getenv ("TRACE"))
     for (unsigned i = 0; i < WC_VOTERS; i++)
       {
-        const struct cfs_members *m = cfs_raft_members (w->hosts[i].raft);
+        const struct cfs_raft_membership *m
+            = cfs_raft_members (w->hosts[i].raft);
 
         printf ("%llx ", (unsigned long long)w->hosts[i].disk.id);
         printf ("c%u role %d term %llu commit %llu last %llu version %llu "
                 "members",
                 i + 1, (int)cfs_raft_role (w->hosts[i].raft),
                 (unsigned long long)cfs_raft_term (w->hosts[i].raft),
-                (unsigned long long)cfs_raft_commit (w->hosts[i].raft),
-                (unsigned long long)cfs_raft_last (w->hosts[i].raft),
+                (unsigned long long)cfs_raft_commit_index (w->hosts[i].raft),
+                (unsigned long long)cfs_raft_last_index (w->hosts[i].raft),
                 (unsigned long long)w->hosts[i].state.version);
         for (size_t k = 0; k < m->count; k++)
           printf (" %s:%llx%s", m->at[k].host, (unsigned long long)m->at[k].id,
--- a/tests/unit/disk.c
+++ b/tests/unit/disk.c
@@ -41,7 +41,7 @@
 }
 
 static void
-free_boot (struct cfs_raft_boot *boot)
+free_boot (struct cfs_raft_initial_state *boot)
 {
   for (size_t i = 0; i < boot->count; i++)
     free (boot->entries[i].data);
@@ -50,7 +50,7 @@
 }
 
 static struct cfs_disk *
-open_disk (const char *folder, struct cfs_raft_boot *boot)
+open_disk (const char *folder, struct cfs_raft_initial_state *boot)
 {
   GError *error = NULL;
   struct cfs_disk *d;
@@ -67,8 +67,8 @@
 {
   for (unsigned i = 0; i < count; i++)
     {
-      struct cfs_entry e
-          = { first + i, 3, CFS_ENTRY_COMMAND, 11, (uint8_t *)"hello world" };
+      struct cfs_entry e = { first + i, 3, CFS_RAFT_ENTRY_COMMAND, 11,
+                             (uint8_t *)"hello world" };
 
       assert_int_equal (cfs_disk_append (d, &e, 1), CFS_OK);
     }
@@ -89,7 +89,7 @@
 {
   char folder[FOLDER_BYTES];
   char path[128];
-  struct cfs_raft_boot boot;
+  struct cfs_raft_initial_state boot;
   off_t before;
   off_t after;
 
@@ -128,7 +128,7 @@
 {
   char folder[FOLDER_BYTES];
   char path[128];
-  struct cfs_raft_boot boot;
+  struct cfs_raft_initial_state boot;
   struct cfs_disk *d;
   off_t size;
 
@@ -159,8 +159,8 @@
 snapshot_vote_and_truncation_come_back (void **state)
 {
   char folder[FOLDER_BYTES];
-  struct cfs_raft_boot boot;
-  struct cfs_snapshot s = { .index = 4, .term = 3, .len = 5 };
+  struct cfs_raft_initial_state boot;
+  struct cfs_raft_snapshot s = { .index = 4, .term = 3, .len = 5 };
   struct cfs_disk *d;
 
   (void)state;
@@ -177,8 +177,8 @@
   assert_int_equal (cfs_disk_truncate (d, 7), CFS_OK);
   append_some (d, 7, 1);
   assert_int_equal (cfs_disk_save_vote (d, 6, 9), CFS_OK);
-  cfs_disk_audit (d, "{\"version\":12,\"from\":11}\n");
-  assert_int_equal (cfs_disk_audited (d), 12);
+  cfs_disk_append_audit (d, "{\"version\":12,\"from\":11}\n");
+  assert_int_equal (cfs_disk_last_audited_version (d), 12);
   cfs_disk_close (d);
   d = open_disk (folder, &boot);
   assert_int_equal (boot.snapshot.index, 4);
@@ -197,8 +197,8 @@
 a_folder_in_use_is_not_formatted (void **state)
 {
   char folder[FOLDER_BYTES];
-  struct cfs_members members = { .count = 0 };
-  struct cfs_raft_boot boot;
+  struct cfs_raft_membership members = { .count = 0 };
+  struct cfs_raft_initial_state boot;
   GError *error = NULL;
 
   (void)state;
--- a/tests/unit/members.c
+++ b/tests/unit/members.c
@@ -34,7 +34,7 @@
   uint64_t vote;
   struct cfs_entry log[VALUES];
   size_t count;
-  struct cfs_snapshot snapshot;
+  struct cfs_raft_snapshot snapshot;
   struct cfs_raft *raft;
   uint64_t applied;
 };
@@ -108,7 +108,8 @@
 }
 
 static void
-copy_snapshot (struct cfs_snapshot *to, const struct cfs_snapshot *from)
+copy_snapshot (struct cfs_raft_snapshot *to,
+               const struct cfs_raft_snapshot *from)
 {
   *to = *from;
   to->data = cfs_alloc (from->len + 1);
@@ -117,7 +118,7 @@
 }
 
 static int
-save_snapshot (void *ctx, const struct cfs_snapshot *s)
+save_snapshot (void *ctx, const struct cfs_raft_snapshot *s)
 {
   struct member *m = ctx;
   size_t kept = 0;
@@ -203,7 +204,7 @@
         send_message, apply,  restore,      image };
 
 static void
-first_members (struct cfs_members *list)
+first_members (struct cfs_raft_membership *list)
 {
   list->count = SEEDS_COUNT;
   for (unsigned i = 0; i < SEEDS_COUNT; i++)
@@ -218,12 +219,12 @@
 start (struct world *w, unsigned i)
 {
   struct member *m = &w->members[i];
-  struct cfs_raft_boot boot = { .elastic = true,
-                                .id = m->id,
-                                .term = m->term,
-                                .vote = m->vote,
-                                .count = m->count,
-                                .seed = cfs_random (&w->seed) };
+  struct cfs_raft_initial_state boot = { .elastic = true,
+                                         .id = m->id,
+                                         .term = m->term,
+                                         .vote = m->vote,
+                                         .count = m->count,
+                                         .seed = cfs_random (&w->seed) };
   char name[16];
 
   snprintf (name, sizeof name, "c%u", i + 1);
@@ -299,7 +300,8 @@
 leader (struct world *w)
 {
   for (unsigned i = 0; i < HOSTS; i++)
-    if (w->members[i].up && cfs_raft_ready (w->members[i].raft, w->now))
+    if (w->members[i].up
+        && cfs_raft_leader_confirmed (w->members[i].raft, w->now))
       return (int)i;
   return -1;
 }
@@ -364,7 +366,7 @@
 voters (struct world *w)
 {
   int l = leader (w);
-  const struct cfs_members *m;
+  const struct cfs_raft_membership *m;
   size_t count = 0;
 
   if (l < 0)
@@ -482,7 +484,7 @@
           event);
   for (unsigned k = 0; k < HOSTS; k++)
     {
-      const struct cfs_members *m;
+      const struct cfs_raft_membership *m;
 
       if (!w->members[k].up)
         continue;
@@ -490,7 +492,7 @@
       printf ("  c%u role %d term %llu commit %llu:", k + 1,
               (int)cfs_raft_role (w->members[k].raft),
               (unsigned long long)cfs_raft_term (w->members[k].raft),
-              (unsigned long long)cfs_raft_commit (w->members[k].raft));
+              (unsigned long long)cfs_raft_commit_index (w->members[k].raft));
       for (size_t n = 0; n < m->count; n++)
         printf (" %s:%llx%s", m->at[n].host,
                 (unsigned long long)m->at[n].id & 0xfff,
--- a/tests/unit/scenarios.c
+++ b/tests/unit/scenarios.c
@@ -202,7 +202,7 @@
 show_members (struct script *s)
 {
   int leader = wc_ready (s->control);
-  const struct cfs_members *m;
+  const struct cfs_raft_membership *m;
 
   if (leader < 0)
     return;
@@ -239,9 +239,9 @@
 {
   int leader = wc_ready (s->control);
   const struct cfs_patch_result *r
-      = leader < 0
-            ? NULL
-            : cfs_state_result (&s->control->hosts[leader].state, s->words[1]);
+      = leader < 0 ? NULL
+                   : cfs_state_find_result (&s->control->hosts[leader].state,
+                                            s->words[1]);
 
   if (r)
     fprintf (s->out, "result %s: status %u version %llu\n", s->words[1],
--- a/tests/world/control.c
+++ b/tests/world/control.c
@@ -104,7 +104,8 @@
 }
 
 static void
-copy_snapshot (struct cfs_snapshot *to, const struct cfs_snapshot *from)
+copy_snapshot (struct cfs_raft_snapshot *to,
+               const struct cfs_raft_snapshot *from)
 {
   *to = *from;
   to->data = cfs_alloc (from->len);
@@ -113,7 +114,7 @@
 }
 
 static int
-save_snapshot (void *ctx, const struct cfs_snapshot *s)
+save_snapshot (void *ctx, const struct cfs_raft_snapshot *s)
 {
   struct wc_host *h = ctx;
   size_t kept = 0;
@@ -177,7 +178,7 @@
 static size_t
 image (void *ctx, uint8_t **data)
 {
-  return cfs_state_image (&((struct wc_host *)ctx)->state, data);
+  return cfs_state_serialize (&((struct wc_host *)ctx)->state, data);
 }
 
 static uint64_t
@@ -197,7 +198,7 @@
 static const struct cfs_leader_ops leader_ops = { propose };
 
 static void
-genesis (struct cfs_members *m)
+genesis (struct cfs_raft_membership *m)
 {
   m->count = WC_VOTERS;
   for (unsigned i = 0; i < WC_VOTERS; i++)
@@ -212,11 +213,11 @@
 wc_start (struct world_control *w, unsigned i)
 {
   struct wc_host *h = &w->hosts[i];
-  struct cfs_raft_boot boot = { .id = h->disk.id,
-                                .term = h->disk.term,
-                                .vote = h->disk.vote,
-                                .count = h->disk.count,
-                                .seed = cfs_random (&w->seed) };
+  struct cfs_raft_initial_state boot = { .id = h->disk.id,
+                                         .term = h->disk.term,
+                                         .vote = h->disk.vote,
+                                         .count = h->disk.count,
+                                         .seed = cfs_random (&w->seed) };
   char name[8];
 
   snprintf (name, sizeof name, "c%u", i + 1);
@@ -361,7 +362,7 @@
   Cfs__Peer out = CFS__PEER__INIT;
   int64_t now = host_now (h);
 
-  if (cfs_raft_ready (h->raft, now))
+  if (cfs_raft_leader_confirmed (h->raft, now))
     reply = cfs_leader_heartbeat (h->leader, in, now);
   denied.leader = "none";
   out.body_case = CFS__PEER__BODY_REPLY;
@@ -411,7 +412,7 @@
     {
       const struct wc_host *h = &w->hosts[i];
 
-      ready += h->alive && cfs_raft_ready (h->raft, host_now (h));
+      ready += h->alive && cfs_raft_leader_confirmed (h->raft, host_now (h));
     }
   for (unsigned i = 0; i < WC_AGENTS; i++)
     holders += wc_acts_on (w, i, "gate/orders");
@@ -485,8 +486,9 @@
       if (!h->alive || h->frozen)
         continue;
       cfs_raft_tick (h->raft, host_now (h));
-      cfs_leader_tick (h->leader, cfs_raft_ready (h->raft, host_now (h)),
-                       cfs_raft_commit (h->raft), host_now (h));
+      cfs_leader_tick (h->leader,
+                       cfs_raft_leader_confirmed (h->raft, host_now (h)),
+                       cfs_raft_commit_index (h->raft), host_now (h));
     }
   for (unsigned i = 0; i < WC_AGENTS; i++)
     {
@@ -512,7 +514,8 @@
 {
   for (unsigned i = 0; i < WC_VOTERS; i++)
     if (w->hosts[i].alive
-        && cfs_raft_ready (w->hosts[i].raft, host_now (&w->hosts[i])))
+        && cfs_raft_leader_confirmed (w->hosts[i].raft,
+                                      host_now (&w->hosts[i])))
       return (int)i;
   return -1;
 }
--- a/tests/world/control.h
+++ b/tests/world/control.h
@@ -19,7 +19,7 @@
 struct wc_disk
 {
   uint64_t id, term, vote;
-  struct cfs_snapshot snapshot;
+  struct cfs_raft_snapshot snapshot;
   struct cfs_entry *entries;
   size_t count, cap;
   bool full;
