--- a/src/process/control.c
+++ b/src/process/control.c
@@ -29,7 +29,7 @@
 }
 
 static int
-append (void *ctx, const struct cfs_entry *entries, size_t count)
+append (void *ctx, const struct cfs_raft_entry *entries, size_t count)
 {
   const struct cfs_control *c = ctx;
   int rc = cfs_disk_append (c->disk, entries, count);
@@ -102,7 +102,7 @@
 }
 
 static void
-apply (void *ctx, const struct cfs_entry *e)
+apply (void *ctx, const struct cfs_raft_entry *e)
 {
   struct cfs_control *c = ctx;
   const struct cfs_version *v;
@@ -524,7 +524,7 @@
   cfs_state_init (&c->state);
   randombytes_buf (&new_id, sizeof new_id);
   randombytes_buf (&boot.seed, sizeof boot.seed);
-  boot.elastic = settings->by_seeds;
+  boot.manages_voters = settings->by_seeds;
   control_fleet_init (c);
   if (prepare_folder (settings, error))
     c->disk = cfs_disk_open (settings->data_folder, &boot, new_id | 2, error);
--- a/src/process/disk.c
+++ b/src/process/disk.c
@@ -24,7 +24,7 @@
 #define AUDIT_FILE "audit"
 #define VOTE_BYTES 32
 
-struct mark
+struct record_offset
 {
   uint64_t index;
   off_t offset;
@@ -37,7 +37,7 @@
   int log;
   int audit;
   off_t end;
-  struct mark *marks;
+  struct record_offset *offsets;
   size_t count;
   size_t cap;
 };
@@ -80,14 +80,15 @@
 }
 
 static bool
-fail (GError **error, const char *folder, const char *file, const char *what)
+set_error (GError **error, const char *folder, const char *file,
+           const char *what)
 {
   g_set_error (error, CFS_DISK_ERROR, 0, "%s/%s: %s", folder, file, what);
   return false;
 }
 
 static size_t
-encode_record (const struct cfs_entry *e, uint8_t *out)
+encode_record (const struct cfs_raft_entry *e, uint8_t *out)
 {
   put32 (out, e->len);
   put64 (out + 8, e->index);
@@ -132,19 +133,20 @@
 static void
 add_offset (struct cfs_disk *d, uint64_t index, off_t offset)
 {
-  cfs_grow (&d->marks, &d->cap, d->count, sizeof *d->marks);
-  d->marks[d->count].index = index;
-  d->marks[d->count].offset = offset;
+  cfs_grow (&d->offsets, &d->cap, d->count, sizeof *d->offsets);
+  d->offsets[d->count].index = index;
+  d->offsets[d->count].offset = offset;
   d->count++;
 }
 
 static void
-add_entry (struct cfs_raft_initial_state *boot, size_t *cap, const uint8_t *p)
+add_entry (struct cfs_raft_initial_state *initial, size_t *cap,
+           const uint8_t *p)
 {
-  struct cfs_entry *e;
+  struct cfs_raft_entry *e;
 
-  cfs_grow (&boot->entries, cap, boot->count, sizeof *boot->entries);
-  e = &boot->entries[boot->count++];
+  cfs_grow (&initial->entries, cap, initial->count, sizeof *initial->entries);
+  e = &initial->entries[initial->count++];
   e->len = get32 (p);
   e->index = get64 (p + 8);
   e->term = get64 (p + 16);
@@ -157,7 +159,7 @@
 /* Reads the log behind the snapshot.  Invariant of the loop: everything
    before offset is sound. */
 static bool
-load_log (struct cfs_disk *d, struct cfs_raft_initial_state *boot,
+load_log (struct cfs_disk *d, struct cfs_raft_initial_state *initial,
           GError **error)
 {
   size_t len;
@@ -174,20 +176,21 @@
       if (n == 0)
         {
           if (valid_record_follows (data + offset, len - offset))
-            ok = fail (error, d->folder, LOG_FILE,
-                       "damaged before its last record; replace this disk");
+            ok = set_error (
+                error, d->folder, LOG_FILE,
+                "damaged before its last record; replace this disk");
           break;
         }
       index = get64 (data + offset + 8);
-      if (index > boot->snapshot.index)
+      if (index > initial->snapshot.index)
         {
-          if (index != boot->snapshot.index + boot->count + 1)
+          if (index != initial->snapshot.index + initial->count + 1)
             {
-              ok = fail (error, d->folder, LOG_FILE,
-                         "a record is missing; replace this disk");
+              ok = set_error (error, d->folder, LOG_FILE,
+                              "a record is missing; replace this disk");
               break;
             }
-          add_entry (boot, &cap, data + offset);
+          add_entry (initial, &cap, data + offset);
         }
       add_offset (d, index, (off_t)offset);
       offset += n;
@@ -196,7 +199,7 @@
   d->end = (off_t)offset;
   if (ok && offset < len
       && (ftruncate (d->log, d->end) != 0 || !cfs_file_sync (d->log)))
-    ok = fail (error, d->folder, LOG_FILE, "cannot cut a torn record");
+    ok = set_error (error, d->folder, LOG_FILE, "cannot cut a torn record");
   return ok;
 }
 
@@ -205,9 +208,9 @@
 pack_snapshot (const struct cfs_raft_snapshot *s, uint8_t **out)
 {
   Cfs__RaftMsg m = CFS__RAFT_MSG__INIT;
-  Cfs__RaftEntry rows[RAFT_MEMBERS_MAX];
+  Cfs__RaftEntry packed[RAFT_MEMBERS_MAX];
   Cfs__RaftEntry *list[RAFT_MEMBERS_MAX];
-  struct cfs_entry e = { .index = s->index, .term = s->term };
+  struct cfs_raft_entry e = { .index = s->index, .term = s->term };
   size_t len;
 
   m.index = s->index;
@@ -216,12 +219,12 @@
   m.snapshot.len = s->len;
   for (size_t i = 0; i < s->members.count; i++)
     {
-      cfs__raft_entry__init (&rows[i]);
-      rows[i].index = s->members.at[i].id;
-      rows[i].kind = s->members.at[i].voter;
-      rows[i].data.data = (uint8_t *)s->members.at[i].host;
-      rows[i].data.len = strlen (s->members.at[i].host);
-      list[i] = &rows[i];
+      cfs__raft_entry__init (&packed[i]);
+      packed[i].index = s->members.at[i].id;
+      packed[i].kind = s->members.at[i].voter;
+      packed[i].data.data = (uint8_t *)s->members.at[i].host;
+      packed[i].data.len = strlen (s->members.at[i].host);
+      list[i] = &packed[i];
     }
   m.entries = list;
   m.n_entries = s->members.count;
@@ -245,15 +248,15 @@
     memcpy (s->data, m->snapshot.data, s->len);
   for (size_t i = 0; i < m->n_entries && i < RAFT_MEMBERS_MAX; i++)
     {
-      struct cfs_raft_member *row = &s->members.at[s->members.count++];
+      struct cfs_raft_member *member = &s->members.at[s->members.count++];
       size_t n = m->entries[i]->data.len;
 
-      row->id = m->entries[i]->index;
-      row->voter = m->entries[i]->kind != 0;
-      if (n >= sizeof row->host)
-        n = sizeof row->host - 1;
-      memcpy (row->host, m->entries[i]->data.data, n);
-      row->host[n] = '\0';
+      member->id = m->entries[i]->index;
+      member->voter = m->entries[i]->kind != 0;
+      if (n >= sizeof member->host)
+        n = sizeof member->host - 1;
+      memcpy (member->host, m->entries[i]->data.data, n);
+      member->host[n] = '\0';
     }
 }
 
@@ -270,8 +273,8 @@
     m = cfs__raft_msg__unpack (NULL, len - RECORD_HEAD, data + RECORD_HEAD);
   free (data);
   if (!m)
-    return fail (error, d->folder, SNAPSHOT_FILE,
-                 "damaged; replace this disk");
+    return set_error (error, d->folder, SNAPSHOT_FILE,
+                      "damaged; replace this disk");
   unpack_snapshot (m, s);
   cfs__raft_msg__free_unpacked (m, NULL);
   return true;
@@ -290,31 +293,31 @@
 }
 
 static bool
-load_vote (struct cfs_disk *d, struct cfs_raft_initial_state *boot,
-           uint64_t fresh_id, GError **error)
+load_vote (struct cfs_disk *d, struct cfs_raft_initial_state *initial,
+           uint64_t new_id, GError **error)
 {
   size_t len;
   uint8_t *data = cfs_file_read (d->folder, VOTE_FILE, &len);
-  bool sound = data && len == VOTE_BYTES
+  bool valid = data && len == VOTE_BYTES
                && get64 (data + 24) == cfs_hash (data, 24, 1);
 
-  if (sound)
+  if (valid)
     {
-      boot->id = get64 (data);
-      boot->term = get64 (data + 8);
-      boot->vote = get64 (data + 16);
+      initial->id = get64 (data);
+      initial->term = get64 (data + 8);
+      initial->vote = get64 (data + 16);
     }
   else if (data)
-    fail (error, d->folder, VOTE_FILE, "damaged; replace this disk");
+    set_error (error, d->folder, VOTE_FILE, "damaged; replace this disk");
   else
     {
-      boot->id = fresh_id;
-      sound = write_vote (d->folder, fresh_id, 0, 0)
-              || fail (error, d->folder, VOTE_FILE, "cannot write");
+      initial->id = new_id;
+      valid = write_vote (d->folder, new_id, 0, 0)
+              || set_error (error, d->folder, VOTE_FILE, "cannot write");
     }
   free (data);
-  d->id = boot->id;
-  return sound;
+  d->id = initial->id;
+  return valid;
 }
 
 bool
@@ -328,18 +331,18 @@
   int fd;
 
   if (mkdir (folder, 0700) != 0 && errno != EEXIST)
-    return fail (error, folder, "", "cannot make the folder");
+    return set_error (error, folder, "", "cannot make the folder");
   fd = cfs_file_open (folder, VOTE_FILE, O_RDONLY);
   if (fd >= 0)
     {
       close (fd);
-      return fail (error, folder, VOTE_FILE, "the folder is in use");
+      return set_error (error, folder, VOTE_FILE, "the folder is in use");
     }
   len = pack_snapshot (&s, &data);
   ok = cfs_file_replace (folder, SNAPSHOT_FILE, data, len)
        && write_vote (folder, id, 0, 0);
   free (data);
-  return ok || fail (error, folder, VOTE_FILE, "cannot write");
+  return ok || set_error (error, folder, VOTE_FILE, "cannot write");
 }
 
 bool
@@ -353,8 +356,8 @@
 }
 
 struct cfs_disk *
-cfs_disk_open (const char *folder, struct cfs_raft_initial_state *boot,
-               uint64_t fresh_id, GError **error)
+cfs_disk_open (const char *folder, struct cfs_raft_initial_state *initial,
+               uint64_t new_id, GError **error)
 {
   struct cfs_disk *d = cfs_alloc (sizeof *d);
 
@@ -363,7 +366,7 @@
   d->audit = -1;
   if (mkdir (folder, 0700) != 0 && errno != EEXIST)
     {
-      fail (error, folder, "", "cannot make the folder");
+      set_error (error, folder, "", "cannot make the folder");
       cfs_disk_close (d);
       return NULL;
     }
@@ -371,13 +374,13 @@
   d->audit = cfs_file_open (folder, AUDIT_FILE, O_WRONLY | O_CREAT | O_APPEND);
   if (d->log < 0 || d->audit < 0 || !cfs_file_sync_folder (folder))
     {
-      fail (error, folder, LOG_FILE, "cannot open");
+      set_error (error, folder, LOG_FILE, "cannot open");
       cfs_disk_close (d);
       return NULL;
     }
-  if (load_vote (d, boot, fresh_id, error)
-      && load_snapshot (d, &boot->snapshot, error)
-      && load_log (d, boot, error))
+  if (load_vote (d, initial, new_id, error)
+      && load_snapshot (d, &initial->snapshot, error)
+      && load_log (d, initial, error))
     return d;
   cfs_disk_close (d);
   return NULL;
@@ -393,7 +396,7 @@
   if (d->audit >= 0)
     close (d->audit);
   free (d->folder);
-  free (d->marks);
+  free (d->offsets);
   free (d);
 }
 
@@ -404,7 +407,7 @@
 }
 
 int
-cfs_disk_append (struct cfs_disk *d, const struct cfs_entry *entries,
+cfs_disk_append (struct cfs_disk *d, const struct cfs_raft_entry *entries,
                  size_t count)
 {
   size_t total = 0;
@@ -438,14 +441,14 @@
 {
   size_t keep = d->count;
 
-  while (keep > 0 && d->marks[keep - 1].index >= from)
+  while (keep > 0 && d->offsets[keep - 1].index >= from)
     keep--;
   if (keep == d->count)
     return CFS_OK;
-  if (ftruncate (d->log, d->marks[keep].offset) != 0
+  if (ftruncate (d->log, d->offsets[keep].offset) != 0
       || !cfs_file_sync (d->log))
     return CFS_IO;
-  d->end = d->marks[keep].offset;
+  d->end = d->offsets[keep].offset;
   d->count = keep;
   return CFS_OK;
 }
@@ -460,9 +463,9 @@
   off_t cut;
   int fd;
 
-  while (first < d->count && d->marks[first].index <= index)
+  while (first < d->count && d->offsets[first].index <= index)
     first++;
-  cut = first < d->count ? d->marks[first].offset : d->end;
+  cut = first < d->count ? d->offsets[first].offset : d->end;
   if (!data || (off_t)len < d->end
       || !cfs_file_replace (d->folder, LOG_FILE, data + cut,
                             (size_t)(d->end - cut)))
@@ -480,8 +483,8 @@
   d->count -= first;
   for (size_t i = 0; i < d->count; i++)
     {
-      d->marks[i] = d->marks[i + first];
-      d->marks[i].offset -= cut;
+      d->offsets[i] = d->offsets[i + first];
+      d->offsets[i].offset -= cut;
     }
   return true;
 }
--- a/src/process/disk.h
+++ b/src/process/disk.h
@@ -37,16 +37,16 @@
 /**
  * cfs_disk_open() - reads what is durable
  * @folder: data folder, made when absent
- * @boot: written; entries and snapshot pass to the caller
- * @fresh_id: identity to write when the folder is empty
+ * @initial: written; entries and snapshot pass to the caller
+ * @new_id: identity to write when the folder is empty
  * @error: set on damage or failure
  *
- * An empty folder is a lost or new disk: it gets @fresh_id and no members.
+ * An empty folder is a lost or new disk: it gets @new_id and no members.
  * Return: freed by cfs_disk_close(), or NULL.
  */
 struct cfs_disk *cfs_disk_open (const char *folder,
-                                struct cfs_raft_initial_state *boot,
-                                uint64_t fresh_id, GError **error);
+                                struct cfs_raft_initial_state *initial,
+                                uint64_t new_id, GError **error);
 
 /** cfs_disk_close() - closes the files */
 void cfs_disk_close (struct cfs_disk *disk);
@@ -55,8 +55,8 @@
 int cfs_disk_save_vote (struct cfs_disk *disk, uint64_t term, uint64_t vote);
 
 /** cfs_disk_append() - appends entries */
-int cfs_disk_append (struct cfs_disk *disk, const struct cfs_entry *entries,
-                     size_t count);
+int cfs_disk_append (struct cfs_disk *disk,
+                     const struct cfs_raft_entry *entries, size_t count);
 
 /** cfs_disk_truncate() - drops entries from @from on */
 int cfs_disk_truncate (struct cfs_disk *disk, uint64_t from);
--- a/src/process/failover.c
+++ b/src/process/failover.c
@@ -89,7 +89,7 @@
 current_primary (const struct cfs_failover_manager *m,
                  const struct failover_state *f)
 {
-  return cfs_targets_primary (&m->state->targets, &m->state->turns,
+  return cfs_targets_primary (&m->state->targets, &m->state->failovers,
                               f->service);
 }
 
@@ -361,7 +361,7 @@
                 int64_t now)
 {
   const struct cfs_failover *failover
-      = cfs_table_find (&m->state->turns, f->service);
+      = cfs_table_find (&m->state->failovers, f->service);
   const struct cfs_target *t = current_primary (m, f);
   const char *reason;
 
--- a/src/process/leader.c
+++ b/src/process/leader.c
@@ -99,9 +99,9 @@
 }
 
 /* Assignments collected during one tick. */
-struct batch
+struct assignment_batch
 {
-  Cfs__Assignment rows[ASSIGN_BATCH];
+  Cfs__Assignment assignments[ASSIGN_BATCH];
   Cfs__Assignment *list[ASSIGN_BATCH];
   char names[ASSIGN_BATCH][CFS_NAME_MAX];
   struct cfs_host *from[ASSIGN_BATCH];
@@ -109,14 +109,15 @@
 };
 
 static void
-consider (struct cfs_leader *l, struct batch *b, const char *prefix,
-          const char *name, const char *zone, int64_t now)
+add_if_free (struct cfs_leader *l, struct assignment_batch *b,
+             const char *prefix, const char *name, const char *zone,
+             int64_t now)
 {
   static const struct cfs_lease none;
   char *resource = b->names[b->count];
   const struct cfs_lease *lease;
   const struct cfs_host *to;
-  Cfs__Assignment *a = &b->rows[b->count];
+  Cfs__Assignment *a = &b->assignments[b->count];
 
   snprintf (resource, CFS_NAME_MAX, "%s%s", prefix, name);
   lease = cfs_table_find (&l->state->leases, resource);
@@ -153,7 +154,7 @@
 {
   Cfs__Command c = CFS__COMMAND__INIT;
   Cfs__AssignBatch m = CFS__ASSIGN_BATCH__INIT;
-  struct batch *b;
+  struct assignment_batch *b;
 
   if (l->assign_index > l->applied)
     return;
@@ -163,11 +164,11 @@
     {
       const struct cfs_group *g = cfs_table_at (&l->state->groups, i);
 
-      consider (l, b, GATE_PREFIX, g->name, primary_zone (l, g), now);
+      add_if_free (l, b, GATE_PREFIX, g->name, primary_zone (l, g), now);
     }
   for (size_t i = 0;
        l->conf && i < l->conf->team_count && b->count < ASSIGN_BATCH; i++)
-    consider (l, b, LIMIT_PREFIX, l->conf->teams[i].name, NULL, now);
+    add_if_free (l, b, LIMIT_PREFIX, l->conf->teams[i].name, NULL, now);
   if (b->count)
     {
       m.assignment = b->list;
@@ -226,18 +227,19 @@
 static void
 reload_conf (struct cfs_leader *l)
 {
-  if (l->read && l->conf_version == l->state->version)
+  if (l->conf_loaded && l->conf_version == l->state->version)
     return;
-  l->read = true;
+  l->conf_loaded = true;
   l->conf_version = l->state->version;
   cfs_conf_free (l->conf);
   cfs_catalog_free (l->catalog);
   l->conf = NULL;
   l->catalog = NULL;
-  if (!l->edge)
+  if (!l->decoder)
     l->conf = cfs_conf_parse (l->state->document, l->state->version, NULL);
   else if (l->state->version)
-    l->catalog = l->edge->read (l->state->document, l->state->version, NULL);
+    l->catalog
+        = l->decoder->read (l->state->document, l->state->version, NULL);
 }
 
 static void
@@ -268,7 +270,7 @@
 static void
 ensure_host_recorded (struct cfs_leader *l, struct cfs_host *h, int64_t now)
 {
-  if (!l->edge || cfs_table_find (&l->state->hosts, h->name)
+  if (!l->decoder || cfs_table_find (&l->state->hosts, h->name)
       || now - h->recorded_at < HOST_RECORD_RETRY_US)
     return;
   h->recorded_at = now;
@@ -282,7 +284,7 @@
 {
   const struct cfs_table *hosts = &l->state->hosts;
 
-  if (!l->edge || now - l->holders_checked_at < HOST_RECORD_RETRY_US)
+  if (!l->decoder || now - l->holders_checked_at < HOST_RECORD_RETRY_US)
     return;
   l->holders_checked_at = now;
   for (size_t i = 0; i < hosts->count; i++)
@@ -340,21 +342,21 @@
 static void
 update_instance (struct cfs_leader *l, const Cfs__Instance *in, int64_t now)
 {
-  struct cfs_instance *row = cfs_table_add (&l->instances, in->name);
+  struct cfs_instance *i = cfs_table_add (&l->instances, in->name);
 
-  if (!row->seen_at)
-    row->first_seen = now;
-  row->seen_at = now;
-  cfs_copy (row->group, sizeof row->group, in->group);
-  cfs_copy (row->zone, sizeof row->zone, in->zone);
-  cfs_copy (row->address, sizeof row->address, in->address);
-  row->port = in->port;
-  row->slots = in->slots;
-  row->connections = in->connections;
-  row->term = in->term;
-  row->position = in->position;
-  row->primary = in->primary;
-  row->leaving = in->leaving;
+  if (!i->seen_at)
+    i->first_seen = now;
+  i->seen_at = now;
+  cfs_copy (i->group, sizeof i->group, in->group);
+  cfs_copy (i->zone, sizeof i->zone, in->zone);
+  cfs_copy (i->address, sizeof i->address, in->address);
+  i->port = in->port;
+  i->slots = in->slots;
+  i->connections = in->connections;
+  i->term = in->term;
+  i->position = in->position;
+  i->primary = in->primary;
+  i->leaving = in->leaving;
 }
 
 static void
@@ -430,13 +432,13 @@
       const Cfs__Release *r = in->released[i];
       const struct cfs_lease *lease
           = cfs_table_find (&l->state->leases, r->resource);
-      struct release *row;
+      struct release *entry;
 
       if (!lease || lease->epoch != r->epoch || lease->boot != in->boot
           || strcmp (lease->holder, in->host) != 0)
         continue;
-      row = cfs_table_add (&l->releases, r->resource);
-      row->epoch = r->epoch;
+      entry = cfs_table_add (&l->releases, r->resource);
+      entry->epoch = r->epoch;
     }
 }
 
@@ -465,16 +467,16 @@
   cfs_table_end (&l->hosts);
   cfs_table_end (&l->instances);
   cfs_table_end (&l->releases);
-  free (l->rows.versions);
-  free (l->rows.version_list);
-  free (l->rows.leases);
-  free (l->rows.lease_list);
-  free (l->rows.groups);
-  free (l->rows.group_list);
-  free (l->rows.branches);
-  free (l->rows.branch_list);
-  free (l->rows.instances);
-  free (l->rows.instance_list);
+  free (l->reply.versions);
+  free (l->reply.version_list);
+  free (l->reply.leases);
+  free (l->reply.lease_list);
+  free (l->reply.groups);
+  free (l->reply.group_list);
+  free (l->reply.branches);
+  free (l->reply.branch_list);
+  free (l->reply.instances);
+  free (l->reply.instance_list);
   leader_reply_end (l);
   cfs_catalog_free (l->catalog);
   cfs_shares_end (&l->shares);
@@ -517,15 +519,15 @@
     update_instance (l, in->instances[i], now);
   for (size_t i = 0; i < in->n_reports; i++)
     handle_group_report (l, in->reports[i]);
-  cfs__heartbeat_reply__init (&l->rows.msg);
-  l->rows.msg.seq = in->seq;
-  l->rows.msg.granted = h->fence <= l->applied;
-  if (l->rows.msg.granted)
+  cfs__heartbeat_reply__init (&l->reply.msg);
+  l->reply.msg.seq = in->seq;
+  l->reply.msg.granted = h->fence <= l->applied;
+  if (l->reply.msg.granted)
     h->lease_end = now + LEASE_WAIT_US;
   leader_reply_conf (l, in->version);
   leader_reply_directory (l, in);
   leader_reply_fleet (l, in, now);
-  return &l->rows.msg;
+  return &l->reply.msg;
 }
 
 bool
@@ -545,10 +547,10 @@
 
 void
 cfs_leader_set_document_decoder (struct cfs_leader *l,
-                                 const struct cfs_document_decoder *edge,
+                                 const struct cfs_document_decoder *decoder,
                                  int64_t lease_us)
 {
-  l->edge = edge;
+  l->decoder = decoder;
   l->share_wait_us
       = lease_us < SHARE_LEASE_US ? lease_us + lease_us / 20 : SHARE_EXPIRY_US;
 }
--- a/src/process/leader.h
+++ b/src/process/leader.h
@@ -133,12 +133,13 @@
 
 /**
  * cfs_leader_set_document_decoder() - configuration by whole documents
- * @edge: decodes them, must outlive the leader
+ * @decoder: decodes them, must outlive the leader
  * @lease_us: how long a host acts on a version and on its shares
  */
-void cfs_leader_set_document_decoder (struct cfs_leader *leader,
-                                      const struct cfs_document_decoder *edge,
-                                      int64_t lease_us);
+void
+cfs_leader_set_document_decoder (struct cfs_leader *leader,
+                                 const struct cfs_document_decoder *decoder,
+                                 int64_t lease_us);
 
 /** cfs_leader_set_members() - members of the control group, told to hosts */
 void cfs_leader_set_members (struct cfs_leader *leader,
--- a/src/process/leader_int.h
+++ b/src/process/leader_int.h
@@ -63,10 +63,10 @@
   uint64_t applied;
   uint64_t assign_index;
   int64_t grace_end;
-  struct reply_buffers rows;
-  const struct cfs_document_decoder *edge;
+  struct reply_buffers reply;
+  const struct cfs_document_decoder *decoder;
   struct cfs_catalog *catalog;
-  bool read;
+  bool conf_loaded;
   uint64_t conf_version;
   int64_t share_wait_us;
   int64_t led_since;
--- a/src/process/leader_reply.c
+++ b/src/process/leader_reply.c
@@ -10,9 +10,9 @@
 
 /* Room for @need rows and as many pointers to them. */
 static void
-reserve (void *rows, void *list, size_t *cap, size_t need, size_t size)
+reserve (void *items, void *list, size_t *cap, size_t need, size_t size)
 {
-  void **r = rows;
+  void **r = items;
   void **p = list;
 
   if (need <= *cap)
@@ -29,27 +29,27 @@
 leader_reply_conf (struct cfs_leader *l, uint64_t have)
 {
   const struct cfs_state *s = l->state;
-  struct reply_buffers *rows = &l->rows;
+  struct reply_buffers *b = &l->reply;
   uint64_t need = s->version > have ? s->version - have : 0;
 
-  rows->msg.version = s->version;
+  b->msg.version = s->version;
   if (have > 0 && need <= s->version_count)
     {
-      reserve (&rows->versions, &rows->version_list, &rows->version_cap,
-               (size_t)need, sizeof *rows->versions);
+      reserve (&b->versions, &b->version_list, &b->version_cap, (size_t)need,
+               sizeof *b->versions);
       for (size_t i = 0; i < need; i++)
         {
           const struct cfs_version *v
               = &s->versions[s->version_count - need + i];
 
-          cfs_version_message (v, &rows->versions[i]);
-          rows->version_list[i] = &rows->versions[i];
+          cfs_version_message (v, &b->versions[i]);
+          b->version_list[i] = &b->versions[i];
         }
-      rows->msg.versions = rows->version_list;
-      rows->msg.n_versions = (size_t)need;
+      b->msg.versions = b->version_list;
+      b->msg.n_versions = (size_t)need;
     }
   else if (need)
-    rows->msg.document = s->document;
+    b->msg.document = s->document;
 }
 
 static bool
@@ -66,82 +66,81 @@
 static void
 reply_instances (struct cfs_leader *l, const char *host)
 {
-  struct reply_buffers *rows = &l->rows;
+  struct reply_buffers *b = &l->reply;
 
-  reserve (&rows->instances, &rows->instance_list, &rows->instance_cap,
-           l->instances.count, sizeof *rows->instances);
+  reserve (&b->instances, &b->instance_list, &b->instance_cap,
+           l->instances.count, sizeof *b->instances);
   for (size_t i = 0; i < l->instances.count; i++)
     {
-      const struct cfs_instance *row = cfs_table_at (&l->instances, i);
-      Cfs__Instance *out = &rows->instances[rows->msg.n_instances];
+      const struct cfs_instance *instance = cfs_table_at (&l->instances, i);
+      Cfs__Instance *out = &b->instances[b->msg.n_instances];
 
-      if (!holds_gate (l, row->group, host))
+      if (!holds_gate (l, instance->group, host))
         continue;
       cfs__instance__init (out);
-      out->name = (char *)row->name;
-      out->group = (char *)row->group;
-      out->zone = (char *)row->zone;
-      out->address = (char *)row->address;
-      out->port = row->port;
-      out->slots = row->slots;
-      out->connections = row->connections;
-      out->term = row->term;
-      out->position = row->position;
-      out->primary = row->primary;
-      out->leaving = row->leaving;
-      rows->instance_list[rows->msg.n_instances++] = out;
+      out->name = (char *)instance->name;
+      out->group = (char *)instance->group;
+      out->zone = (char *)instance->zone;
+      out->address = (char *)instance->address;
+      out->port = instance->port;
+      out->slots = instance->slots;
+      out->connections = instance->connections;
+      out->term = instance->term;
+      out->position = instance->position;
+      out->primary = instance->primary;
+      out->leaving = instance->leaving;
+      b->instance_list[b->msg.n_instances++] = out;
     }
-  rows->msg.instances = rows->instance_list;
+  b->msg.instances = b->instance_list;
 }
 
 void
 leader_reply_directory (struct cfs_leader *l, const Cfs__Heartbeat *in)
 {
   const struct cfs_state *s = l->state;
-  struct reply_buffers *rows = &l->rows;
+  struct reply_buffers *b = &l->reply;
 
-  rows->msg.directory = s->directory;
-  if (in->directory >= s->directory)
+  b->msg.directory = s->directory_index;
+  if (in->directory >= s->directory_index)
     return;
-  reserve (&rows->leases, &rows->lease_list, &rows->lease_cap, s->leases.count,
-           sizeof *rows->leases);
+  reserve (&b->leases, &b->lease_list, &b->lease_cap, s->leases.count,
+           sizeof *b->leases);
   for (size_t i = 0; i < s->leases.count; i++)
     {
       const struct cfs_lease *lease = cfs_table_at (&s->leases, i);
 
       if (lease->changed <= in->directory)
         continue;
-      cfs_lease_message (lease, &rows->leases[rows->msg.n_assignments]);
-      rows->lease_list[rows->msg.n_assignments]
-          = &rows->leases[rows->msg.n_assignments];
-      rows->msg.n_assignments++;
+      cfs_lease_message (lease, &b->leases[b->msg.n_assignments]);
+      b->lease_list[b->msg.n_assignments] = &b->leases[b->msg.n_assignments];
+      b->msg.n_assignments++;
     }
-  if (s->groups.count > rows->group_cap)
+  if (s->groups.count > b->group_cap)
     {
-      free (rows->branches);
-      free (rows->branch_list);
-      rows->branches = cfs_alloc (s->groups.count * 2 * STATE_BRANCHES_MAX
-                                  * sizeof *rows->branches);
-      rows->branch_list = cfs_alloc (s->groups.count * 2 * STATE_BRANCHES_MAX
-                                     * sizeof (void *));
+      free (b->branches);
+      free (b->branch_list);
+      b->branches = cfs_alloc (s->groups.count * 2 * STATE_BRANCHES_MAX
+                               * sizeof *b->branches);
+      b->branch_list = cfs_alloc (s->groups.count * 2 * STATE_BRANCHES_MAX
+                                  * sizeof (void *));
     }
-  reserve (&rows->groups, &rows->group_list, &rows->group_cap, s->groups.count,
-           sizeof *rows->groups);
+  reserve (&b->groups, &b->group_list, &b->group_cap, s->groups.count,
+           sizeof *b->groups);
   for (size_t i = 0; i < s->groups.count; i++)
     {
       const struct cfs_group *g = cfs_table_at (&s->groups, i);
-      size_t n = rows->msg.n_groups;
+      size_t n = b->msg.n_groups;
 
       if (g->changed <= in->directory)
         continue;
-      cfs_group_message (g, &rows->groups[n],
-                         rows->branches + n * STATE_BRANCHES_MAX,
-                         rows->branch_list + n * STATE_BRANCHES_MAX);
-      rows->group_list[n] = &rows->groups[n];
-      rows->msg.n_groups++;
+      cfs_group_message (g, &b->groups[n],
+                         b->branches + n * STATE_BRANCHES_MAX,
+                         b->branch_list + n * STATE_BRANCHES_MAX);
+      b->group_list[n] = &b->groups[n];
+      b->msg.n_groups++;
     }
-  rows->msg.assignments = rows->lease_list;
-  rows->msg.groups = rows->group_list;
+  b->msg.assignments = b->lease_list;
+  b->msg.groups = b->group_list;
   reply_instances (l, in->host);
 }
 
@@ -149,93 +148,93 @@
 reply_targets (struct cfs_leader *l, uint64_t have)
 {
   const struct cfs_state *s = l->state;
-  struct reply_buffers *rows = &l->rows;
+  struct reply_buffers *b = &l->reply;
 
-  reserve (&rows->targets, &rows->target_list, &rows->target_cap,
-           s->targets.count, sizeof *rows->targets);
+  reserve (&b->targets, &b->target_list, &b->target_cap, s->targets.count,
+           sizeof *b->targets);
   for (size_t i = 0; i < s->targets.count; i++)
     {
       const struct cfs_target *t = cfs_table_at (&s->targets, i);
-      size_t n = rows->msg.n_targets;
+      size_t n = b->msg.n_targets;
 
       if (t->changed <= have)
         continue;
-      cfs_target_to_message (t, &rows->targets[n]);
-      rows->target_list[n] = &rows->targets[n];
-      rows->msg.n_targets++;
+      cfs_target_to_message (t, &b->targets[n]);
+      b->target_list[n] = &b->targets[n];
+      b->msg.n_targets++;
     }
-  rows->msg.targets = rows->target_list;
+  b->msg.targets = b->target_list;
 }
 
 static void
 reply_turns (struct cfs_leader *l, uint64_t have)
 {
   const struct cfs_state *s = l->state;
-  struct reply_buffers *rows = &l->rows;
+  struct reply_buffers *b = &l->reply;
 
-  reserve (&rows->turns, &rows->turn_list, &rows->turn_cap, s->turns.count,
-           sizeof *rows->turns);
-  for (size_t i = 0; i < s->turns.count; i++)
+  reserve (&b->turns, &b->turn_list, &b->turn_cap, s->failovers.count,
+           sizeof *b->turns);
+  for (size_t i = 0; i < s->failovers.count; i++)
     {
-      const struct cfs_failover *t = cfs_table_at (&s->turns, i);
-      size_t n = rows->msg.n_turns;
+      const struct cfs_failover *t = cfs_table_at (&s->failovers, i);
+      size_t n = b->msg.n_turns;
 
       if (t->changed <= have)
         continue;
-      cfs_failover_to_message (t, &rows->turns[n]);
-      rows->turn_list[n] = &rows->turns[n];
-      rows->msg.n_turns++;
+      cfs_failover_to_message (t, &b->turns[n]);
+      b->turn_list[n] = &b->turns[n];
+      b->msg.n_turns++;
     }
-  rows->msg.turns = rows->turn_list;
+  b->msg.turns = b->turn_list;
 }
 
 static void
 reply_shares (struct cfs_leader *l, const Cfs__Heartbeat *in, int64_t now)
 {
-  struct reply_buffers *rows = &l->rows;
+  struct reply_buffers *b = &l->reply;
   const struct cfs_catalog *c = l->catalog;
 
   if (!c || !in->n_uses || !cfs_table_find (&l->state->hosts, in->host))
     return;
-  reserve (&rows->shares, &rows->share_list, &rows->share_cap, c->team_count,
-           sizeof *rows->shares);
-  rows->msg.has_shares = true;
+  reserve (&b->shares, &b->share_list, &b->share_cap, c->team_count,
+           sizeof *b->shares);
+  b->msg.has_shares = true;
   for (size_t i = 0; i < in->n_uses; i++)
     {
       const Cfs__TeamUse *use = in->uses[i];
       const struct cfs_team_limits *team = cfs_catalog_team (c, use->team);
-      size_t n = rows->msg.n_shares;
+      size_t n = b->msg.n_shares;
 
       if (!team || n >= c->team_count)
         continue;
-      cfs__team_share__init (&rows->shares[n]);
-      rows->shares[n].team = (char *)team->name;
-      rows->shares[n].share = cfs_shares_assign (
+      cfs__team_share__init (&b->shares[n]);
+      b->shares[n].team = (char *)team->name;
+      b->shares[n].share = cfs_shares_assign (
           &l->shares, team->name, team->rate, team->burst, in->host,
           use->demand, use->share, now, now + l->share_wait_us);
-      rows->shares[n].known = cfs_shares_is_accurate (&l->shares, now);
-      rows->share_list[n] = &rows->shares[n];
-      rows->msg.n_shares++;
+      b->shares[n].known = cfs_shares_is_accurate (&l->shares, now);
+      b->share_list[n] = &b->shares[n];
+      b->msg.n_shares++;
     }
-  rows->msg.shares = rows->share_list;
+  b->msg.shares = b->share_list;
 }
 
 const Cfs__TokensGrant *
 cfs_leader_tokens (struct cfs_leader *l, const Cfs__TokensAsk *ask,
                    int64_t now)
 {
-  struct reply_buffers *rows = &l->rows;
+  struct reply_buffers *b = &l->reply;
 
-  cfs__tokens_grant__init (&rows->tokens);
-  rows->tokens.sent_at_us = ask->sent_at_us;
-  reserve (&rows->teams, &rows->team_list, &rows->team_cap, ask->n_teams,
-           sizeof *rows->teams);
+  cfs__tokens_grant__init (&b->tokens);
+  b->tokens.sent_at_us = ask->sent_at_us;
+  reserve (&b->teams, &b->team_list, &b->team_cap, ask->n_teams,
+           sizeof *b->teams);
   for (size_t i = 0; i < ask->n_teams; i++)
     {
       const Cfs__TeamTokens *in = ask->teams[i];
       const struct cfs_team_limits *team
           = l->catalog ? cfs_catalog_team (l->catalog, in->team) : NULL;
-      Cfs__TeamTokens *out = &rows->teams[i];
+      Cfs__TeamTokens *out = &b->teams[i];
 
       cfs__team_tokens__init (out);
       out->team = in->team;
@@ -244,11 +243,11 @@
       if (team)
         out->count = cfs_shares_grant (&l->shares, team->name, team->rate,
                                        team->burst, in->count, now);
-      rows->team_list[i] = out;
+      b->team_list[i] = out;
     }
-  rows->tokens.teams = rows->team_list;
-  rows->tokens.n_teams = ask->n_teams;
-  return &rows->tokens;
+  b->tokens.teams = b->team_list;
+  b->tokens.n_teams = ask->n_teams;
+  return &b->tokens;
 }
 
 uint64_t
@@ -264,22 +263,22 @@
 static void
 reply_members (struct cfs_leader *l, uint64_t have)
 {
-  struct reply_buffers *rows = &l->rows;
+  struct reply_buffers *b = &l->reply;
 
-  rows->msg.members_hash = leader_members_hash (&l->members);
-  if (rows->msg.members_hash == have)
+  b->msg.members_hash = leader_members_hash (&l->members);
+  if (b->msg.members_hash == have)
     return;
   for (size_t i = 0; i < l->members.count; i++)
-    rows->members[i] = l->members.at[i].host;
-  rows->msg.members = rows->members;
-  rows->msg.n_members = l->members.count;
+    b->members[i] = l->members.at[i].host;
+  b->msg.members = b->members;
+  b->msg.n_members = l->members.count;
 }
 
 void
 leader_reply_fleet (struct cfs_leader *l, const Cfs__Heartbeat *in,
                     int64_t now)
 {
-  if (!l->edge)
+  if (!l->decoder)
     return;
   reply_targets (l, in->directory);
   reply_turns (l, in->directory);
@@ -291,12 +290,12 @@
 void
 leader_reply_end (struct cfs_leader *l)
 {
-  free (l->rows.targets);
-  free (l->rows.target_list);
-  free (l->rows.turns);
-  free (l->rows.turn_list);
-  free (l->rows.shares);
-  free (l->rows.share_list);
-  free (l->rows.teams);
-  free (l->rows.team_list);
+  free (l->reply.targets);
+  free (l->reply.target_list);
+  free (l->reply.turns);
+  free (l->reply.turn_list);
+  free (l->reply.shares);
+  free (l->reply.share_list);
+  free (l->reply.teams);
+  free (l->reply.team_list);
 }
--- a/src/process/raft.c
+++ b/src/process/raft.c
@@ -17,25 +17,25 @@
 uint64_t
 raft_last_index (const struct cfs_raft *r)
 {
-  return r->snap.index + r->count;
+  return r->snapshot.index + r->count;
 }
 
-struct cfs_entry *
+struct cfs_raft_entry *
 raft_entry_at (const struct cfs_raft *r, uint64_t index)
 {
-  if (index <= r->snap.index || index > raft_last_index (r))
+  if (index <= r->snapshot.index || index > raft_last_index (r))
     return NULL;
-  return &r->log[index - r->snap.index - 1];
+  return &r->log[index - r->snapshot.index - 1];
 }
 
 uint64_t
 raft_term_at (const struct cfs_raft *r, uint64_t index)
 {
-  const struct cfs_entry *e = raft_entry_at (r, index);
+  const struct cfs_raft_entry *e = raft_entry_at (r, index);
 
   if (e)
     return e->term;
-  return index == r->snap.index ? r->snap.term : 0;
+  return index == r->snapshot.index ? r->snapshot.term : 0;
 }
 
 bool
@@ -104,12 +104,12 @@
 {
   for (uint64_t i = from; i <= raft_last_index (r); i++)
     free (raft_entry_at (r, i)->data);
-  r->count = (size_t)(from - r->snap.index - 1);
+  r->count = (size_t)(from - r->snapshot.index - 1);
 }
 
 /* Copies entries behind the end of the log after they are durable. */
 int
-raft_append_entries (struct cfs_raft *r, struct cfs_entry *entries,
+raft_append_entries (struct cfs_raft *r, struct cfs_raft_entry *entries,
                      size_t count)
 {
   bool members = false;
@@ -119,7 +119,7 @@
     return rc;
   for (size_t i = 0; i < count; i++)
     {
-      struct cfs_entry *e;
+      struct cfs_raft_entry *e;
 
       cfs_grow (&r->log, &r->cap, r->count, sizeof *r->log);
       e = &r->log[r->count++];
@@ -141,9 +141,9 @@
 {
   size_t bytes = 0;
 
-  if (r->applied - r->snap.index >= RAFT_SNAPSHOT_ENTRIES)
+  if (r->applied_index - r->snapshot.index >= RAFT_SNAPSHOT_ENTRIES)
     return true;
-  for (uint64_t i = r->snap.index + 1; i <= r->applied; i++)
+  for (uint64_t i = r->snapshot.index + 1; i <= r->applied_index; i++)
     bytes += raft_entry_at (r, i)->len;
   return bytes >= RAFT_SNAPSHOT_BYTES;
 }
@@ -151,38 +151,38 @@
 static void
 take_snapshot (struct cfs_raft *r)
 {
-  struct cfs_raft_snapshot s = { .index = r->applied };
+  struct cfs_raft_snapshot s = { .index = r->applied_index };
   size_t keep;
 
-  if (!snapshot_is_due (r) || r->members_index > r->applied)
+  if (!snapshot_is_due (r) || r->members_index > r->applied_index)
     return;
-  s.term = raft_term_at (r, r->applied);
+  s.term = raft_term_at (r, r->applied_index);
   s.members = r->members;
-  s.len = r->ops->image (r->ctx, &s.data);
+  s.len = r->ops->serialize (r->ctx, &s.data);
   if (r->ops->save_snapshot (r->ctx, &s) != CFS_OK)
     {
       free (s.data);
       return;
     }
   keep = (size_t)(raft_last_index (r) - s.index);
-  for (uint64_t i = r->snap.index + 1; i <= s.index; i++)
+  for (uint64_t i = r->snapshot.index + 1; i <= s.index; i++)
     free (raft_entry_at (r, i)->data);
   memmove (r->log, r->log + (r->count - keep), keep * sizeof *r->log);
   r->count = keep;
-  free (r->snap.data);
-  r->snap = s;
+  free (r->snapshot.data);
+  r->snapshot = s;
 }
 
 void
 raft_apply_committed (struct cfs_raft *r)
 {
-  while (r->applied < r->commit)
+  while (r->applied_index < r->commit_index)
     {
-      const struct cfs_entry *e = raft_entry_at (r, r->applied + 1);
+      const struct cfs_raft_entry *e = raft_entry_at (r, r->applied_index + 1);
 
       if (e->kind == CFS_RAFT_ENTRY_COMMAND)
         r->ops->apply (r->ctx, e);
-      r->applied++;
+      r->applied_index++;
     }
   take_snapshot (r);
 }
@@ -195,12 +195,13 @@
   Cfs__RaftEntry *list[1] = { &members };
 
   raft_init_msg (r, &m, MSG_SNAPSHOT, p->id);
-  m.index = r->snap.index;
-  m.log_term = r->snap.term;
+  m.index = r->snapshot.index;
+  m.log_term = r->snapshot.term;
   m.round = (uint64_t)now;
-  m.snapshot.data = r->snap.data;
-  m.snapshot.len = r->snap.len;
-  members.data.len = raft_pack_members (&r->snap.members, &members.data.data);
+  m.snapshot.data = r->snapshot.data;
+  m.snapshot.len = r->snapshot.len;
+  members.data.len
+      = raft_pack_members (&r->snapshot.members, &members.data.data);
   m.entries = list;
   m.n_entries = 1;
   raft_send_to (r, &m);
@@ -211,37 +212,37 @@
 static void
 send_append (struct cfs_raft *r, struct raft_peer *p, int64_t now)
 {
-  Cfs__RaftEntry rows[RAFT_BATCH];
+  Cfs__RaftEntry batch[RAFT_BATCH];
   Cfs__RaftEntry *list[RAFT_BATCH];
   Cfs__RaftMsg m;
   size_t bytes = 0;
 
-  if (p->next <= r->snap.index)
+  if (p->next_index <= r->snapshot.index)
     {
       send_snapshot (r, p, now);
       return;
     }
   raft_init_msg (r, &m, MSG_APPEND, p->id);
-  m.index = p->next - 1;
+  m.index = p->next_index - 1;
   m.log_term = raft_term_at (r, m.index);
-  m.commit = r->commit;
+  m.commit = r->commit_index;
   m.round = (uint64_t)now;
   m.entries = list;
-  for (uint64_t i = p->next;
+  for (uint64_t i = p->next_index;
        i <= raft_last_index (r) && m.n_entries < RAFT_BATCH
        && bytes < RAFT_BATCH_BYTES;
        i++)
     {
-      const struct cfs_entry *e = raft_entry_at (r, i);
-      Cfs__RaftEntry *row = &rows[m.n_entries];
-
-      cfs__raft_entry__init (row);
-      row->index = e->index;
-      row->term = e->term;
-      row->kind = e->kind;
-      row->data.len = e->len;
-      row->data.data = e->data;
-      list[m.n_entries++] = row;
+      const struct cfs_raft_entry *e = raft_entry_at (r, i);
+      Cfs__RaftEntry *out = &batch[m.n_entries];
+
+      cfs__raft_entry__init (out);
+      out->index = e->index;
+      out->term = e->term;
+      out->kind = e->kind;
+      out->data.len = e->len;
+      out->data.data = e->data;
+      list[m.n_entries++] = out;
       bytes += e->len;
     }
   raft_send_to (r, &m);
@@ -249,7 +250,7 @@
 }
 
 static void
-broadcast (struct cfs_raft *r, int64_t now)
+broadcast_append (struct cfs_raft *r, int64_t now)
 {
   r->broadcast_at = now + RAFT_HEARTBEAT_US;
   for (size_t i = 0; i < r->members.count; i++)
@@ -280,9 +281,9 @@
 static void
 advance_commit (struct cfs_raft *r, int64_t now)
 {
-  uint64_t old = r->commit;
+  uint64_t old = r->commit_index;
 
-  for (uint64_t n = raft_last_index (r); n > r->commit; n--)
+  for (uint64_t n = raft_last_index (r); n > r->commit_index; n--)
     {
       size_t count = 0;
 
@@ -290,18 +291,18 @@
         break;
       for (size_t i = 0; i < r->members.count; i++)
         count += r->members.at[i].voter
-                 && (r->peers[i].id == r->id || r->peers[i].match >= n);
+                 && (r->peers[i].id == r->id || r->peers[i].match_index >= n);
       if (count >= raft_majority (r))
         {
-          r->commit = n;
+          r->commit_index = n;
           break;
         }
     }
-  if (r->commit == old)
+  if (r->commit_index == old)
     return;
   raft_apply_committed (r);
-  broadcast (r, now);
-  if (!raft_is_voter (r, r->id) && r->commit >= r->members_index)
+  broadcast_append (r, now);
+  if (!raft_is_voter (r, r->id) && r->commit_index >= r->members_index)
     raft_become_follower (r, 0, now);
 }
 
@@ -309,11 +310,11 @@
 raft_append_as_leader (struct cfs_raft *r, enum cfs_raft_entry_kind kind,
                        const uint8_t *data, size_t len, int64_t now)
 {
-  struct cfs_entry e = { .index = raft_last_index (r) + 1,
-                         .term = r->term,
-                         .kind = kind,
-                         .len = (uint32_t)len,
-                         .data = (uint8_t *)data };
+  struct cfs_raft_entry e = { .index = raft_last_index (r) + 1,
+                              .term = r->term,
+                              .kind = kind,
+                              .len = (uint32_t)len,
+                              .data = (uint8_t *)data };
   int rc = raft_append_entries (r, &e, 1);
 
   if (rc != CFS_OK)
@@ -321,7 +322,7 @@
       raft_become_follower (r, 0, now);
       return rc;
     }
-  broadcast (r, now);
+  broadcast_append (r, now);
   advance_commit (r, now);
   return CFS_OK;
 }
@@ -333,8 +334,8 @@
   r->leader = r->id;
   for (size_t i = 0; i < r->members.count; i++)
     {
-      r->peers[i].next = raft_last_index (r) + 1;
-      r->peers[i].match = 0;
+      r->peers[i].next_index = raft_last_index (r) + 1;
+      r->peers[i].match_index = 0;
       r->peers[i].acked_at = now;
     }
   r->term_start = raft_last_index (r) + 1;
@@ -360,51 +361,51 @@
     {
       uint64_t next = m->hint + 1 < m->index ? m->hint + 1 : m->index;
 
-      if (next <= p->match)
+      if (next <= p->match_index)
         return;
-      p->next = next ? next : 1;
+      p->next_index = next ? next : 1;
       send_append (r, p, now);
       return;
     }
   if (m->index > raft_last_index (r))
     return;
-  if (m->index > p->match)
-    p->match = m->index;
-  if (p->next <= p->match)
-    p->next = p->match + 1;
+  if (m->index > p->match_index)
+    p->match_index = m->index;
+  if (p->next_index <= p->match_index)
+    p->next_index = p->match_index + 1;
   advance_commit (r, now);
-  if (r->role == RAFT_LEADER && p->next <= raft_last_index (r))
+  if (r->role == RAFT_LEADER && p->next_index <= raft_last_index (r))
     send_append (r, p, now);
   raft_maintain_members (r, now);
 }
 
 struct cfs_raft *
 cfs_raft_new (const struct cfs_raft_ops *ops, void *ctx,
-              struct cfs_raft_initial_state *boot, const char *host,
+              struct cfs_raft_initial_state *initial, const char *host,
               int64_t now)
 {
   struct cfs_raft *r = cfs_alloc (sizeof *r);
 
   r->ops = ops;
   r->ctx = ctx;
-  r->id = boot->id;
+  r->id = initial->id;
   cfs_copy (r->host, sizeof r->host, host);
-  r->term = boot->term;
-  r->vote = boot->vote;
-  r->snap = boot->snapshot;
-  r->log = boot->entries;
-  r->count = boot->count;
-  r->cap = boot->count;
-  r->commit = r->snap.index;
-  r->applied = r->snap.index;
-  r->seed = boot->seed ? boot->seed : 1;
-  r->elastic = boot->elastic;
+  r->term = initial->term;
+  r->vote = initial->vote;
+  r->snapshot = initial->snapshot;
+  r->log = initial->entries;
+  r->count = initial->count;
+  r->cap = initial->count;
+  r->commit_index = r->snapshot.index;
+  r->applied_index = r->snapshot.index;
+  r->seed = initial->seed ? initial->seed : 1;
+  r->manages_voters = initial->manages_voters;
   r->clock = now;
   r->heard_at = now;
   raft_restore_members (r);
   raft_become_follower (r, 0, now);
-  if (r->snap.len)
-    ops->restore (ctx, r->snap.data, r->snap.len);
+  if (r->snapshot.len)
+    ops->restore (ctx, r->snapshot.data, r->snapshot.len);
   return r;
 }
 
@@ -413,9 +414,9 @@
 {
   if (!r)
     return;
-  raft_drop_entries (r, r->snap.index + 1);
+  raft_drop_entries (r, r->snapshot.index + 1);
   free (r->log);
-  free (r->snap.data);
+  free (r->snapshot.data);
   free (r);
 }
 
@@ -431,7 +432,7 @@
         raft_become_follower (r, 0, now);
       else if (now >= r->broadcast_at)
         {
-          broadcast (r, now);
+          broadcast_append (r, now);
           raft_maintain_members (r, now);
         }
       return;
@@ -450,7 +451,7 @@
   switch (m->type)
     {
     case MSG_PREVOTE:
-      if (r->elastic && !raft_find_member (r, m->from))
+      if (r->manages_voters && !raft_find_member (r, m->from))
         raft_on_join (r, m, now);
       raft_on_prevote (r, m, now);
       break;
@@ -507,7 +508,7 @@
 uint64_t
 cfs_raft_commit_index (const struct cfs_raft *r)
 {
-  return r->commit;
+  return r->commit_index;
 }
 
 uint64_t
@@ -535,6 +536,6 @@
 {
   int64_t window = RAFT_ELECTION_US * (100 - RAFT_DRIFT_PERCENT) / 100;
 
-  return r->role == RAFT_LEADER && r->commit >= r->term_start
+  return r->role == RAFT_LEADER && r->commit_index >= r->term_start
          && now - majority_confirmed_at (r, now) < window;
 }
--- a/src/process/raft.h
+++ b/src/process/raft.h
@@ -52,8 +52,9 @@
   CFS_RAFT_ENTRY_MEMBERS = 2
 };
 
-/** struct cfs_entry - one entry; @data is owned by whoever holds the array */
-struct cfs_entry
+/** struct cfs_raft_entry - one entry; @data is owned by whoever holds the
+ * array */
+struct cfs_raft_entry
 {
   uint64_t index;
   uint64_t term;
@@ -100,20 +101,21 @@
  * @send: sends a message to the control host of that name; may lose it
  * @apply: applies a committed command, once and in order
  * @restore: replaces the state machine by an image
- * @image: packs the state machine into malloc'd memory for the caller
+ * @serialize: packs the state machine into malloc'd memory for the caller
  *
  * A status other than CFS_OK leaves the log as it was before the call.
  */
 struct cfs_raft_ops
 {
   int (*save_vote) (void *ctx, uint64_t term, uint64_t vote);
-  int (*append) (void *ctx, const struct cfs_entry *entries, size_t count);
+  int (*append) (void *ctx, const struct cfs_raft_entry *entries,
+                 size_t count);
   int (*truncate) (void *ctx, uint64_t from);
   int (*save_snapshot) (void *ctx, const struct cfs_raft_snapshot *snapshot);
   void (*send) (void *ctx, const char *host, const Cfs__RaftMsg *msg);
-  void (*apply) (void *ctx, const struct cfs_entry *entry);
+  void (*apply) (void *ctx, const struct cfs_raft_entry *entry);
   void (*restore) (void *ctx, const uint8_t *data, size_t len);
-  size_t (*image) (void *ctx, uint8_t **data);
+  size_t (*serialize) (void *ctx, uint8_t **data);
 };
 
 enum cfs_raft_role
@@ -126,18 +128,18 @@
 
 /**
  * struct cfs_raft_initial_state - what was on disk, or the first members
- * @elastic: members find one another: the group keeps an odd number of
+ * @manages_voters: members find one another: the group keeps an odd number of
  * voters and replaces silent ones by learners that have caught up; without
  * it every learner becomes a voter and stays one
  */
 struct cfs_raft_initial_state
 {
-  bool elastic;
+  bool manages_voters;
   uint64_t id;
   uint64_t term;
   uint64_t vote;
   struct cfs_raft_snapshot snapshot;
-  struct cfs_entry *entries;
+  struct cfs_raft_entry *entries;
   size_t count;
   uint64_t seed;
 };
@@ -146,7 +148,7 @@
  * cfs_raft_new() - starts the log from what was durable
  * @ops: effects, must outlive the log
  * @ctx: first argument of every effect
- * @boot: durable state; entry data and snapshot data pass to the log
+ * @initial: durable state; entry data and snapshot data pass to the log
  * @host: name of this host, at most CFS_NAME_MAX - 1 bytes
  * @now: time
  *
@@ -154,7 +156,7 @@
  * Return: the log, freed by cfs_raft_free().
  */
 struct cfs_raft *cfs_raft_new (const struct cfs_raft_ops *ops, void *ctx,
-                               struct cfs_raft_initial_state *boot,
+                               struct cfs_raft_initial_state *initial,
                                const char *host, int64_t now);
 
 /** cfs_raft_free() - frees the log and all entries in memory */
--- a/src/process/raft_follow.c
+++ b/src/process/raft_follow.c
@@ -23,7 +23,7 @@
 
 /* Accepts the sender as leader of its term.  Returns false for a stale one. */
 static bool
-follow (struct cfs_raft *r, const Cfs__RaftMsg *m, int64_t now)
+accept_leader (struct cfs_raft *r, const Cfs__RaftMsg *m, int64_t now)
 {
   if (m->term < r->term)
     {
@@ -42,17 +42,17 @@
 static int
 store_entries (struct cfs_raft *r, const Cfs__RaftMsg *m)
 {
-  struct cfs_entry fresh[RAFT_BATCH];
+  struct cfs_raft_entry fresh[RAFT_BATCH];
   size_t i = 0;
   size_t n = 0;
 
   while (i < m->n_entries
-         && (m->entries[i]->index <= r->snap.index
+         && (m->entries[i]->index <= r->snapshot.index
              || raft_term_at (r, m->entries[i]->index) == m->entries[i]->term))
     i++;
   if (i == m->n_entries)
     return CFS_OK;
-  if (m->n_entries - i > RAFT_BATCH || m->entries[i]->index <= r->commit)
+  if (m->n_entries - i > RAFT_BATCH || m->entries[i]->index <= r->commit_index)
     return CFS_BAD;
   if (m->entries[i]->index <= raft_last_index (r))
     {
@@ -81,10 +81,10 @@
 {
   uint64_t match = m->index + m->n_entries;
 
-  if (!follow (r, m, now))
+  if (!accept_leader (r, m, now))
     return;
   if (m->index > raft_last_index (r)
-      || (m->index >= r->snap.index
+      || (m->index >= r->snapshot.index
           && raft_term_at (r, m->index) != m->log_term))
     {
       reply_append (r, m, true, m->index);
@@ -92,12 +92,12 @@
     }
   if (store_entries (r, m) != CFS_OK)
     return;
-  if (m->commit > r->commit)
+  if (m->commit > r->commit_index)
     {
       uint64_t limit = m->commit < match ? m->commit : match;
 
-      if (limit > r->commit)
-        r->commit = limit;
+      if (limit > r->commit_index)
+        r->commit_index = limit;
       raft_apply_committed (r);
     }
   reply_append (r, m, false, match);
@@ -107,18 +107,18 @@
 raft_on_snapshot (struct cfs_raft *r, const Cfs__RaftMsg *m, int64_t now)
 {
   struct cfs_raft_snapshot s = { .index = m->index, .term = m->log_term };
-  struct cfs_entry members;
+  struct cfs_raft_entry members;
 
-  if (!follow (r, m, now) || m->n_entries != 1)
+  if (!accept_leader (r, m, now) || m->n_entries != 1)
     return;
-  if (m->index <= r->commit)
+  if (m->index <= r->commit_index)
     {
-      reply_append (r, m, false, r->commit);
+      reply_append (r, m, false, r->commit_index);
       return;
     }
   if (raft_term_at (r, m->index) == m->log_term)
     {
-      r->commit = m->index;
+      r->commit_index = m->index;
       raft_apply_committed (r);
       reply_append (r, m, false, m->index);
       return;
@@ -137,11 +137,11 @@
       free (s.data);
       return;
     }
-  raft_drop_entries (r, r->snap.index + 1);
-  free (r->snap.data);
-  r->snap = s;
-  r->commit = s.index;
-  r->applied = s.index;
+  raft_drop_entries (r, r->snapshot.index + 1);
+  free (r->snapshot.data);
+  r->snapshot = s;
+  r->commit_index = s.index;
+  r->applied_index = s.index;
   raft_restore_members (r);
   r->ops->restore (r->ctx, s.data, s.len);
   reply_append (r, m, false, s.index);
--- a/src/process/raft_int.h
+++ b/src/process/raft_int.h
@@ -25,11 +25,11 @@
 struct raft_peer
 {
   uint64_t id;
-  uint64_t next;
-  uint64_t match;
+  uint64_t next_index;
+  uint64_t match_index;
   int64_t acked_at;
   int64_t sent_at;
-  bool granted;
+  bool vote_granted;
   bool leaving;
 };
 
@@ -42,12 +42,12 @@
   enum cfs_raft_role role;
   uint64_t term;
   uint64_t vote;
-  struct cfs_raft_snapshot snap;
-  struct cfs_entry *log;
+  struct cfs_raft_snapshot snapshot;
+  struct cfs_raft_entry *log;
   size_t count;
   size_t cap;
-  uint64_t commit;
-  uint64_t applied;
+  uint64_t commit_index;
+  uint64_t applied_index;
   struct cfs_raft_membership members;
   uint64_t members_index;
   struct raft_peer peers[RAFT_MEMBERS_MAX];
@@ -59,7 +59,7 @@
   int64_t joined_at;
   uint64_t term_start;
   uint64_t seed;
-  bool elastic;
+  bool manages_voters;
   int64_t surplus_voters_since;
 };
 
@@ -67,7 +67,8 @@
 uint64_t raft_last_index (const struct cfs_raft *raft);
 
 /** raft_entry_at() - entry in memory at an index, or NULL */
-struct cfs_entry *raft_entry_at (const struct cfs_raft *raft, uint64_t index);
+struct cfs_raft_entry *raft_entry_at (const struct cfs_raft *raft,
+                                      uint64_t index);
 
 /** raft_term_at() - term of an entry or of the snapshot's last, or 0 */
 uint64_t raft_term_at (const struct cfs_raft *raft, uint64_t index);
@@ -117,7 +118,7 @@
 void raft_drop_entries (struct cfs_raft *raft, uint64_t from);
 
 /** raft_append_entries() - copies entries behind the log once durable */
-int raft_append_entries (struct cfs_raft *raft, struct cfs_entry *entries,
+int raft_append_entries (struct cfs_raft *raft, struct cfs_raft_entry *entries,
                          size_t count);
 
 /** raft_apply_committed() - hands committed entries to the state */
@@ -144,7 +145,7 @@
 struct raft_peer *raft_find_peer (struct cfs_raft *raft, uint64_t id);
 
 /** raft_unpack_members() - members of an entry; false when malformed */
-bool raft_unpack_members (const struct cfs_entry *entry,
+bool raft_unpack_members (const struct cfs_raft_entry *entry,
                           struct cfs_raft_membership *out);
 
 /** raft_pack_members() - packs members into memory that the caller frees */
--- a/src/process/raft_member.c
+++ b/src/process/raft_member.c
@@ -27,7 +27,7 @@
 }
 
 bool
-raft_unpack_members (const struct cfs_entry *e,
+raft_unpack_members (const struct cfs_raft_entry *e,
                      struct cfs_raft_membership *out)
 {
   Cfs__Members *m = cfs__members__unpack (NULL, e->len, e->data);
@@ -52,18 +52,18 @@
 size_t
 raft_pack_members (const struct cfs_raft_membership *in, uint8_t **data)
 {
-  Cfs__Member rows[RAFT_MEMBERS_MAX];
+  Cfs__Member packed[RAFT_MEMBERS_MAX];
   Cfs__Member *list[RAFT_MEMBERS_MAX];
   Cfs__Members m = CFS__MEMBERS__INIT;
   size_t len;
 
   for (size_t i = 0; i < in->count; i++)
     {
-      cfs__member__init (&rows[i]);
-      rows[i].id = in->at[i].id;
-      rows[i].host = (char *)in->at[i].host;
-      rows[i].voter = in->at[i].voter;
-      list[i] = &rows[i];
+      cfs__member__init (&packed[i]);
+      packed[i].id = in->at[i].id;
+      packed[i].host = (char *)in->at[i].host;
+      packed[i].voter = in->at[i].voter;
+      list[i] = &packed[i];
     }
   m.n_member = in->count;
   m.member = list;
@@ -89,7 +89,7 @@
         kept[i] = *old;
       else
         {
-          kept[i].next = raft_last_index (r) + 1;
+          kept[i].next_index = raft_last_index (r) + 1;
           kept[i].acked_at = r->clock;
         }
       kept[i].id = members->at[i].id;
@@ -106,9 +106,9 @@
 {
   struct cfs_raft_membership found;
 
-  for (uint64_t i = raft_last_index (r); i > r->snap.index; i--)
+  for (uint64_t i = raft_last_index (r); i > r->snapshot.index; i--)
     {
-      const struct cfs_entry *e = raft_entry_at (r, i);
+      const struct cfs_raft_entry *e = raft_entry_at (r, i);
 
       if (e->kind == CFS_RAFT_ENTRY_MEMBERS && raft_unpack_members (e, &found))
         {
@@ -116,7 +116,7 @@
           return;
         }
     }
-  set_members (r, &r->snap.members, r->snap.index);
+  set_members (r, &r->snapshot.members, r->snapshot.index);
 }
 
 /* A host outside the group asks the leader to be taken in. */
@@ -150,8 +150,8 @@
 static bool
 can_change_members (const struct cfs_raft *r)
 {
-  return r->role == RAFT_LEADER && r->commit >= r->term_start
-         && r->members_index <= r->commit;
+  return r->role == RAFT_LEADER && r->commit_index >= r->term_start
+         && r->members_index <= r->commit_index;
 }
 
 static bool
@@ -170,7 +170,8 @@
 {
   for (size_t i = 0; i < r->members.count; i++)
     if (!r->members.at[i].voter
-        && (!r->elastic || r->peers[i].match + RAFT_BATCH < r->commit))
+        && (!r->manages_voters
+            || r->peers[i].match_index + RAFT_BATCH < r->commit_index))
       return true;
   return false;
 }
@@ -183,7 +184,7 @@
   const struct cfs_raft_member *leader = raft_find_member (r, r->leader);
   Cfs__RaftMsg copy = *m;
 
-  if (!r->elastic || !leader || r->leader == r->id || m->round > 0)
+  if (!r->manages_voters || !leader || r->leader == r->id || m->round > 0)
     return;
   copy.round = 1;
   r->ops->send (r->ctx, leader->host, &copy);
@@ -236,7 +237,8 @@
   size_t i = 0;
 
   while (i < r->members.count
-         && (r->members.at[i].voter || r->peers[i].match < r->commit
+         && (r->members.at[i].voter
+             || r->peers[i].match_index < r->commit_index
              || is_silent (r, i, RAFT_ELECTION_US, now)))
     i++;
   return i;
@@ -344,7 +346,7 @@
   if (!can_change_members (r))
     return;
   learner = find_ready_learner (r, now);
-  if (r->elastic)
+  if (r->manages_voters)
     maintain_voters (r, learner, now);
   else if (learner < r->members.count)
     {
--- a/src/process/raft_vote.c
+++ b/src/process/raft_vote.c
@@ -19,8 +19,8 @@
     {
       Cfs__RaftMsg m;
 
-      r->peers[i].granted = r->peers[i].id == r->id;
-      if (r->peers[i].granted || !r->members.at[i].voter)
+      r->peers[i].vote_granted = r->peers[i].id == r->id;
+      if (r->peers[i].vote_granted || !r->members.at[i].voter)
         continue;
       raft_init_msg (r, &m, type, r->peers[i].id);
       m.term = term;
@@ -31,12 +31,12 @@
 }
 
 static bool
-won (const struct cfs_raft *r)
+has_won (const struct cfs_raft *r)
 {
   size_t count = 0;
 
   for (size_t i = 0; i < r->members.count; i++)
-    count += r->members.at[i].voter && r->peers[i].granted;
+    count += r->members.at[i].voter && r->peers[i].vote_granted;
   return count >= raft_majority (r);
 }
 
@@ -51,7 +51,7 @@
     }
   r->role = RAFT_CANDIDATE;
   request_votes (r, MSG_VOTE, r->term);
-  if (won (r))
+  if (has_won (r))
     raft_become_leader (r, now);
 }
 
@@ -64,7 +64,7 @@
       = now + RAFT_RETRY_US
         + (int64_t)(cfs_random (&r->seed) % (uint64_t)RAFT_RETRY_US);
   request_votes (r, MSG_PREVOTE, r->term + 1);
-  if (won (r))
+  if (has_won (r))
     start_election (r, now);
 }
 
@@ -135,8 +135,8 @@
     return;
   if (!pre && (r->role != RAFT_CANDIDATE || m->term != r->term))
     return;
-  p->granted = true;
-  if (!won (r))
+  p->vote_granted = true;
+  if (!has_won (r))
     return;
   if (pre)
     start_election (r, now);
--- a/src/process/state.c
+++ b/src/process/state.c
@@ -128,7 +128,7 @@
         continue;
       cfs_lease_load (l, a);
       l->changed = index;
-      s->directory = index;
+      s->directory_index = index;
     }
 }
 
@@ -148,7 +148,7 @@
   group->granted_term = g->term;
   group->granted_epoch = g->epoch;
   group->changed = index;
-  s->directory = index;
+  s->directory_index = index;
 }
 
 /* The first term of a group is taken as announced; each later one must have
@@ -175,7 +175,7 @@
   group->granted_term = d->term;
   cfs_copy (group->primary, sizeof group->primary, d->primary);
   group->changed = index;
-  s->directory = index;
+  s->directory_index = index;
 }
 
 /* A whole document replaces the one held only under a higher number; there
@@ -214,7 +214,7 @@
   cfs_table_init (&s->leases, sizeof (struct cfs_lease));
   cfs_table_init (&s->groups, sizeof (struct cfs_group));
   cfs_table_init (&s->targets, sizeof (struct cfs_target));
-  cfs_table_init (&s->turns, sizeof (struct cfs_failover));
+  cfs_table_init (&s->failovers, sizeof (struct cfs_failover));
   cfs_table_init (&s->hosts, sizeof (struct cfs_host_record));
 }
 
@@ -231,7 +231,7 @@
   cfs_table_end (&s->leases);
   cfs_table_end (&s->groups);
   cfs_table_end (&s->targets);
-  cfs_table_end (&s->turns);
+  cfs_table_end (&s->failovers);
   cfs_table_end (&s->hosts);
 }
 
@@ -262,14 +262,14 @@
       break;
     case CFS__COMMAND__BODY_TARGET:
       if (cfs_targets_apply (&s->targets, c->target, index))
-        s->directory = index;
+        s->directory_index = index;
       break;
     case CFS__COMMAND__BODY_HOST:
       apply_host_record (s, c->host);
       break;
     case CFS__COMMAND__BODY_TURN:
-      if (cfs_failovers_apply (&s->turns, c->turn, index))
-        s->directory = index;
+      if (cfs_failovers_apply (&s->failovers, c->turn, index))
+        s->directory_index = index;
       break;
     default:
       break;
@@ -343,7 +343,7 @@
 }
 
 /* Rows of a snapshot message while it is packed; freed in one place. */
-struct image
+struct snapshot_buffers
 {
   Cfs__Version *versions;
   Cfs__Version **version_list;
@@ -363,97 +363,97 @@
 };
 
 static void
-image_alloc (struct image *im, const struct cfs_state *s)
+alloc_buffers (struct snapshot_buffers *b, const struct cfs_state *s)
 {
   size_t branches = s->groups.count * STATE_BRANCHES_MAX;
 
-  im->versions = cfs_alloc (s->version_count * sizeof *im->versions);
-  im->version_list = cfs_alloc (s->version_count * sizeof (void *));
-  im->results = cfs_alloc (s->result_count * sizeof *im->results);
-  im->result_list = cfs_alloc (s->result_count * sizeof (void *));
-  im->leases = cfs_alloc (s->leases.count * sizeof *im->leases);
-  im->lease_list = cfs_alloc (s->leases.count * sizeof (void *));
-  im->groups = cfs_alloc (s->groups.count * sizeof *im->groups);
-  im->group_list = cfs_alloc (s->groups.count * sizeof (void *));
-  im->branches = cfs_alloc (branches * sizeof *im->branches);
-  im->branch_list = cfs_alloc (branches * sizeof (void *));
-  im->targets = cfs_alloc (s->targets.count * sizeof *im->targets);
-  im->target_list = cfs_alloc (s->targets.count * sizeof (void *));
-  im->turns = cfs_alloc (s->turns.count * sizeof *im->turns);
-  im->turn_list = cfs_alloc (s->turns.count * sizeof (void *));
-  im->hosts = cfs_alloc (s->hosts.count * sizeof (void *));
+  b->versions = cfs_alloc (s->version_count * sizeof *b->versions);
+  b->version_list = cfs_alloc (s->version_count * sizeof (void *));
+  b->results = cfs_alloc (s->result_count * sizeof *b->results);
+  b->result_list = cfs_alloc (s->result_count * sizeof (void *));
+  b->leases = cfs_alloc (s->leases.count * sizeof *b->leases);
+  b->lease_list = cfs_alloc (s->leases.count * sizeof (void *));
+  b->groups = cfs_alloc (s->groups.count * sizeof *b->groups);
+  b->group_list = cfs_alloc (s->groups.count * sizeof (void *));
+  b->branches = cfs_alloc (branches * sizeof *b->branches);
+  b->branch_list = cfs_alloc (branches * sizeof (void *));
+  b->targets = cfs_alloc (s->targets.count * sizeof *b->targets);
+  b->target_list = cfs_alloc (s->targets.count * sizeof (void *));
+  b->turns = cfs_alloc (s->failovers.count * sizeof *b->turns);
+  b->turn_list = cfs_alloc (s->failovers.count * sizeof (void *));
+  b->hosts = cfs_alloc (s->hosts.count * sizeof (void *));
 }
 
 static void
-image_free (struct image *im)
+free_buffers (struct snapshot_buffers *b)
 {
-  free (im->versions);
-  free (im->version_list);
-  free (im->results);
-  free (im->result_list);
-  free (im->leases);
-  free (im->lease_list);
-  free (im->groups);
-  free (im->group_list);
-  free (im->branches);
-  free (im->branch_list);
-  free (im->targets);
-  free (im->target_list);
-  free (im->turns);
-  free (im->turn_list);
-  free (im->hosts);
+  free (b->versions);
+  free (b->version_list);
+  free (b->results);
+  free (b->result_list);
+  free (b->leases);
+  free (b->lease_list);
+  free (b->groups);
+  free (b->group_list);
+  free (b->branches);
+  free (b->branch_list);
+  free (b->targets);
+  free (b->target_list);
+  free (b->turns);
+  free (b->turn_list);
+  free (b->hosts);
 }
 
 static void
-image_history (struct image *im, const struct cfs_state *s)
+pack_history (struct snapshot_buffers *b, const struct cfs_state *s)
 {
   for (size_t i = 0; i < s->version_count; i++)
     {
-      Cfs__Version *v = &im->versions[i];
+      Cfs__Version *v = &b->versions[i];
 
       cfs_version_message (&s->versions[i], v);
-      im->version_list[i] = v;
+      b->version_list[i] = v;
     }
   for (size_t i = 0; i < s->result_count; i++)
     {
-      Cfs__PatchResult *r = &im->results[i];
+      Cfs__PatchResult *r = &b->results[i];
 
       cfs__patch_result__init (r);
       r->request_id = s->results[i].request_id;
       r->status = s->results[i].status;
       r->version = s->results[i].version;
       r->message = s->results[i].message;
-      im->result_list[i] = r;
+      b->result_list[i] = r;
     }
 }
 
 static void
-image_directory (struct image *im, const struct cfs_state *s)
+pack_directory (struct snapshot_buffers *b, const struct cfs_state *s)
 {
   for (size_t i = 0; i < s->leases.count; i++)
     {
-      cfs_lease_message (cfs_table_at (&s->leases, i), &im->leases[i]);
-      im->lease_list[i] = &im->leases[i];
+      cfs_lease_message (cfs_table_at (&s->leases, i), &b->leases[i]);
+      b->lease_list[i] = &b->leases[i];
     }
   for (size_t i = 0; i < s->groups.count; i++)
     {
-      cfs_group_message (cfs_table_at (&s->groups, i), &im->groups[i],
-                         im->branches + i * STATE_BRANCHES_MAX,
-                         im->branch_list + i * STATE_BRANCHES_MAX);
-      im->group_list[i] = &im->groups[i];
+      cfs_group_message (cfs_table_at (&s->groups, i), &b->groups[i],
+                         b->branches + i * STATE_BRANCHES_MAX,
+                         b->branch_list + i * STATE_BRANCHES_MAX);
+      b->group_list[i] = &b->groups[i];
     }
   for (size_t i = 0; i < s->targets.count; i++)
     {
-      cfs_target_to_message (cfs_table_at (&s->targets, i), &im->targets[i]);
-      im->target_list[i] = &im->targets[i];
+      cfs_target_to_message (cfs_table_at (&s->targets, i), &b->targets[i]);
+      b->target_list[i] = &b->targets[i];
     }
-  for (size_t i = 0; i < s->turns.count; i++)
+  for (size_t i = 0; i < s->failovers.count; i++)
     {
-      cfs_failover_to_message (cfs_table_at (&s->turns, i), &im->turns[i]);
-      im->turn_list[i] = &im->turns[i];
+      cfs_failover_to_message (cfs_table_at (&s->failovers, i), &b->turns[i]);
+      b->turn_list[i] = &b->turns[i];
     }
   for (size_t i = 0; i < s->hosts.count; i++)
-    im->hosts[i] = cfs_table_at (&s->hosts, i);
+    b->hosts[i] = cfs_table_at (&s->hosts, i);
 }
 
 void
@@ -471,33 +471,33 @@
 cfs_state_serialize (const struct cfs_state *s, uint8_t **data)
 {
   Cfs__Snapshot m = CFS__SNAPSHOT__INIT;
-  struct image im;
+  struct snapshot_buffers b;
   size_t len;
 
-  image_alloc (&im, s);
-  image_history (&im, s);
-  image_directory (&im, s);
+  alloc_buffers (&b, s);
+  pack_history (&b, s);
+  pack_directory (&b, s);
   m.version = s->version;
   m.document = s->document;
-  m.directory = s->directory;
-  m.versions = im.version_list;
+  m.directory = s->directory_index;
+  m.versions = b.version_list;
   m.n_versions = s->version_count;
-  m.results = im.result_list;
+  m.results = b.result_list;
   m.n_results = s->result_count;
-  m.assignments = im.lease_list;
+  m.assignments = b.lease_list;
   m.n_assignments = s->leases.count;
-  m.groups = im.group_list;
+  m.groups = b.group_list;
   m.n_groups = s->groups.count;
-  m.targets = im.target_list;
+  m.targets = b.target_list;
   m.n_targets = s->targets.count;
-  m.turns = im.turn_list;
-  m.n_turns = s->turns.count;
-  m.hosts = im.hosts;
+  m.turns = b.turn_list;
+  m.n_turns = s->failovers.count;
+  m.hosts = b.hosts;
   m.n_hosts = s->hosts.count;
   len = cfs__snapshot__get_packed_size (&m);
   *data = cfs_alloc (len);
   cfs__snapshot__pack (&m, *data);
-  image_free (&im);
+  free_buffers (&b);
   return len;
 }
 
@@ -513,7 +513,7 @@
   free (s->document);
   s->document = cfs_strdup (m->document);
   s->version = m->version;
-  s->directory = m->directory;
+  s->directory_index = m->directory;
   for (size_t i = 0; i < m->n_versions; i++)
     add_version (s, m->versions[i]->number, m->versions[i]->when_ms,
                  m->versions[i]->patch, m->versions[i]->who,
@@ -531,8 +531,8 @@
     cfs_target_from_message (cfs_table_add (&s->targets, m->targets[i]->id),
                              m->targets[i]);
   for (size_t i = 0; i < m->n_turns; i++)
-    cfs_failover_from_message (cfs_table_add (&s->turns, m->turns[i]->service),
-                               m->turns[i]);
+    cfs_failover_from_message (
+        cfs_table_add (&s->failovers, m->turns[i]->service), m->turns[i]);
   for (size_t i = 0; i < m->n_hosts; i++)
     cfs_table_add (&s->hosts, m->hosts[i]);
   cfs__snapshot__free_unpacked (m, NULL);
--- a/src/process/state.h
+++ b/src/process/state.h
@@ -84,7 +84,7 @@
 struct cfs_state
 {
   uint64_t version;
-  uint64_t directory;
+  uint64_t directory_index;
   char *document;
   struct cfs_version *versions;
   size_t version_count;
@@ -95,7 +95,7 @@
   struct cfs_table leases;
   struct cfs_table groups;
   struct cfs_table targets;
-  struct cfs_table turns;
+  struct cfs_table failovers;
   struct cfs_table hosts;
 };
 
--- a/src/process/table.c
+++ b/src/process/table.c
@@ -8,7 +8,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Position of the first row whose name is not below @name. */
+/* Position of the first entry whose name is not below @name. */
 static size_t
 lower_bound (const struct cfs_table *t, const char *name)
 {
@@ -28,17 +28,17 @@
 }
 
 void
-cfs_table_init (struct cfs_table *t, size_t size)
+cfs_table_init (struct cfs_table *t, size_t entry_size)
 {
   memset (t, 0, sizeof *t);
-  t->size = size;
+  t->entry_size = entry_size;
 }
 
 void
 cfs_table_end (struct cfs_table *t)
 {
-  free (t->rows);
-  t->rows = NULL;
+  free (t->entries);
+  t->entries = NULL;
   t->count = 0;
   t->cap = 0;
 }
@@ -46,7 +46,7 @@
 void *
 cfs_table_at (const struct cfs_table *t, size_t i)
 {
-  return (char *)t->rows + i * t->size;
+  return (char *)t->entries + i * t->entry_size;
 }
 
 void *
@@ -63,27 +63,27 @@
 cfs_table_add (struct cfs_table *t, const char *name)
 {
   char key[CFS_NAME_MAX];
-  char *row;
+  char *entry;
   size_t i;
 
   cfs_copy (key, sizeof key, name);
   i = lower_bound (t, key);
   if (i < t->count && strcmp (cfs_table_at (t, i), key) == 0)
     return cfs_table_at (t, i);
-  cfs_grow (&t->rows, &t->cap, t->count, t->size);
-  row = cfs_table_at (t, i);
-  memmove (row + t->size, row, (t->count - i) * t->size);
-  memset (row, 0, t->size);
-  cfs_copy (row, CFS_NAME_MAX, key);
+  cfs_grow (&t->entries, &t->cap, t->count, t->entry_size);
+  entry = cfs_table_at (t, i);
+  memmove (entry + t->entry_size, entry, (t->count - i) * t->entry_size);
+  memset (entry, 0, t->entry_size);
+  cfs_copy (entry, CFS_NAME_MAX, key);
   t->count++;
-  return row;
+  return entry;
 }
 
 void
 cfs_table_remove (struct cfs_table *t, size_t i)
 {
-  char *row = cfs_table_at (t, i);
+  char *entry = cfs_table_at (t, i);
 
-  memmove (row, row + t->size, (t->count - i - 1) * t->size);
+  memmove (entry, entry + t->entry_size, (t->count - i - 1) * t->entry_size);
   t->count--;
 }
--- a/tests/unit/disk.c
+++ b/tests/unit/disk.c
@@ -67,8 +67,8 @@
 {
   for (unsigned i = 0; i < count; i++)
     {
-      struct cfs_entry e = { first + i, 3, CFS_RAFT_ENTRY_COMMAND, 11,
-                             (uint8_t *)"hello world" };
+      struct cfs_raft_entry e = { first + i, 3, CFS_RAFT_ENTRY_COMMAND, 11,
+                                  (uint8_t *)"hello world" };
 
       assert_int_equal (cfs_disk_append (d, &e, 1), CFS_OK);
     }
--- a/tests/unit/members.c
+++ b/tests/unit/members.c
@@ -32,7 +32,7 @@
   uint64_t id;
   uint64_t term;
   uint64_t vote;
-  struct cfs_entry log[VALUES];
+  struct cfs_raft_entry log[VALUES];
   size_t count;
   struct cfs_raft_snapshot snapshot;
   struct cfs_raft *raft;
@@ -76,10 +76,10 @@
   return CFS_OK;
 }
 
-static struct cfs_entry
-copy_entry (const struct cfs_entry *from)
+static struct cfs_raft_entry
+copy_entry (const struct cfs_raft_entry *from)
 {
-  struct cfs_entry e = *from;
+  struct cfs_raft_entry e = *from;
 
   e.data = cfs_alloc (e.len + 1);
   if (e.len)
@@ -88,7 +88,7 @@
 }
 
 static int
-append (void *ctx, const struct cfs_entry *entries, size_t count)
+append (void *ctx, const struct cfs_raft_entry *entries, size_t count)
 {
   struct member *m = ctx;
 
@@ -165,7 +165,7 @@
 }
 
 static void
-apply (void *ctx, const struct cfs_entry *e)
+apply (void *ctx, const struct cfs_raft_entry *e)
 {
   uint64_t value;
 
@@ -219,7 +219,7 @@
 start (struct world *w, unsigned i)
 {
   struct member *m = &w->members[i];
-  struct cfs_raft_initial_state boot = { .elastic = true,
+  struct cfs_raft_initial_state boot = { .manages_voters = true,
                                          .id = m->id,
                                          .term = m->term,
                                          .vote = m->vote,
--- a/tests/world/control.c
+++ b/tests/world/control.c
@@ -69,7 +69,7 @@
 }
 
 static void
-copy_entry (struct cfs_entry *to, const struct cfs_entry *from)
+copy_entry (struct cfs_raft_entry *to, const struct cfs_raft_entry *from)
 {
   *to = *from;
   to->data = cfs_alloc (from->len);
@@ -78,7 +78,7 @@
 }
 
 static int
-append (void *ctx, const struct cfs_entry *entries, size_t count)
+append (void *ctx, const struct cfs_raft_entry *entries, size_t count)
 {
   struct wc_host *h = ctx;
 
@@ -158,7 +158,7 @@
 }
 
 static void
-apply (void *ctx, const struct cfs_entry *e)
+apply (void *ctx, const struct cfs_raft_entry *e)
 {
   struct wc_host *h = ctx;
 
--- a/tests/world/control.h
+++ b/tests/world/control.h
@@ -20,7 +20,7 @@
 {
   uint64_t id, term, vote;
   struct cfs_raft_snapshot snapshot;
-  struct cfs_entry *entries;
+  struct cfs_raft_entry *entries;
   size_t count, cap;
   bool full;
 };
--- a/tests/world/failover.c
+++ b/tests/world/failover.c
@@ -372,7 +372,7 @@
     return;
   p->pending = false;
   world->committed = p->index;
-  cfs_failovers_apply (&world->state.turns, &p->turn, p->index);
+  cfs_failovers_apply (&world->state.failovers, &p->turn, p->index);
 }
 
 /* The primary writes, replicas receive, one replica is enough for an
