--- a/src/process/control.c
+++ b/src/process/control.c
@@ -433,7 +433,7 @@
     return;
   out.body_case = CFS__PEER__BODY_TOKENS_GRANT;
   out.tokens_grant
-      = (Cfs__TokensGrant *)cfs_leader_tokens (c->leader, request, now);
+      = (Cfs__TokensGrant *)cfs_leader_grant_tokens (c->leader, request, now);
   cfs_net_reply (c->net, from, &out);
 }
 
--- a/src/process/leader.c
+++ b/src/process/leader.c
@@ -60,7 +60,7 @@
   if (!h)
     return now > l->grace_end;
   if (h->boot != lease->boot)
-    return now > h->old_boot_end && now > l->grace_end;
+    return now > h->old_boot_lease_end && now > l->grace_end;
   return now > h->lease_end;
 }
 
@@ -150,7 +150,7 @@
 
 /* One batch at a time: the next waits until the last one is applied. */
 static void
-place_resources (struct cfs_leader *l, int64_t now)
+assign_free_resources (struct cfs_leader *l, int64_t now)
 {
   Cfs__Command c = CFS__COMMAND__INIT;
   Cfs__AssignBatch m = CFS__ASSIGN_BATCH__INIT;
@@ -404,10 +404,10 @@
 
   if (h->boot != in->boot)
     {
-      if (h->lease_end > h->old_boot_end)
-        h->old_boot_end = h->lease_end;
-      if (l->grace_end > h->old_boot_end)
-        h->old_boot_end = l->grace_end;
+      if (h->lease_end > h->old_boot_lease_end)
+        h->old_boot_lease_end = h->lease_end;
+      if (l->grace_end > h->old_boot_lease_end)
+        h->old_boot_lease_end = l->grace_end;
       h->lease_end = 0;
       h->boot = in->boot;
     }
@@ -501,7 +501,7 @@
   if (all_shares_reported (l, &idle_since))
     cfs_shares_end_grace (&l->shares, idle_since, now);
   discover_groups (l, now);
-  place_resources (l, now);
+  assign_free_resources (l, now);
 }
 
 const Cfs__HeartbeatReply *
--- a/src/process/leader.h
+++ b/src/process/leader.h
@@ -57,7 +57,7 @@
   uint64_t fence;
   int64_t seen_at;
   int64_t lease_end;
-  int64_t old_boot_end;
+  int64_t old_boot_lease_end;
   bool draining;
   char suspects[HOST_SUSPECTS_MAX][CFS_NAME_MAX];
   size_t suspect_count;
@@ -155,13 +155,13 @@
                                           size_t *hosts);
 
 /**
- * cfs_leader_tokens() - grants tokens beyond the shares
+ * cfs_leader_grant_tokens() - grants tokens beyond the shares
  *
  * Return: the grant, owned by the leader until the next call.
  */
-const Cfs__TokensGrant *cfs_leader_tokens (struct cfs_leader *leader,
-                                           const Cfs__TokensAsk *ask,
-                                           int64_t now);
+const Cfs__TokensGrant *cfs_leader_grant_tokens (struct cfs_leader *leader,
+                                                 const Cfs__TokensAsk *ask,
+                                                 int64_t now);
 
 /** cfs_leader_catalog() - the version in force, NULL before the first */
 const struct cfs_catalog *cfs_leader_catalog (const struct cfs_leader *leader);
--- a/src/process/leader_reply.c
+++ b/src/process/leader_reply.c
@@ -220,8 +220,8 @@
 }
 
 const Cfs__TokensGrant *
-cfs_leader_tokens (struct cfs_leader *l, const Cfs__TokensAsk *ask,
-                   int64_t now)
+cfs_leader_grant_tokens (struct cfs_leader *l, const Cfs__TokensAsk *ask,
+                         int64_t now)
 {
   struct reply_buffers *b = &l->reply;
 
--- a/src/process/raft.c
+++ b/src/process/raft.c
@@ -96,7 +96,7 @@
 {
   r->role = RAFT_FOLLOWER;
   r->leader = leader;
-  r->election_at = now + raft_election_delay (r);
+  r->election_due_at = now + raft_election_delay (r);
 }
 
 void
@@ -252,7 +252,7 @@
 static void
 broadcast_append (struct cfs_raft *r, int64_t now)
 {
-  r->broadcast_at = now + RAFT_HEARTBEAT_US;
+  r->next_broadcast_at = now + RAFT_HEARTBEAT_US;
   for (size_t i = 0; i < r->members.count; i++)
     if (r->peers[i].id != r->id)
       send_append (r, &r->peers[i], now);
@@ -424,20 +424,20 @@
 cfs_raft_tick (struct cfs_raft *r, int64_t now)
 {
   r->clock = now;
-  if (!raft_find_member (r, r->id) && now >= r->joined_at)
+  if (!raft_find_member (r, r->id) && now >= r->next_join_at)
     raft_send_join (r, now);
   if (r->role == RAFT_LEADER)
     {
       if (now - majority_confirmed_at (r, now) > RAFT_ELECTION_US)
         raft_become_follower (r, 0, now);
-      else if (now >= r->broadcast_at)
+      else if (now >= r->next_broadcast_at)
         {
           broadcast_append (r, now);
           raft_maintain_members (r, now);
         }
       return;
     }
-  if (now < r->election_at || !raft_is_voter (r, r->id))
+  if (now < r->election_due_at || !raft_is_voter (r, r->id))
     return;
   raft_start_prevote (r, now);
 }
--- a/src/process/raft_int.h
+++ b/src/process/raft_int.h
@@ -54,9 +54,9 @@
   uint64_t leader;
   int64_t clock;
   int64_t heard_at;
-  int64_t election_at;
-  int64_t broadcast_at;
-  int64_t joined_at;
+  int64_t election_due_at;
+  int64_t next_broadcast_at;
+  int64_t next_join_at;
   uint64_t term_start;
   uint64_t seed;
   bool manages_voters;
--- a/src/process/raft_member.c
+++ b/src/process/raft_member.c
@@ -123,7 +123,7 @@
 void
 raft_send_join (struct cfs_raft *r, int64_t now)
 {
-  r->joined_at = now + RAFT_ELECTION_US;
+  r->next_join_at = now + RAFT_ELECTION_US;
   for (size_t i = 0; i < r->members.count; i++)
     {
       Cfs__RaftMsg m;
--- a/src/process/raft_vote.c
+++ b/src/process/raft_vote.c
@@ -43,7 +43,7 @@
 static void
 start_election (struct cfs_raft *r, int64_t now)
 {
-  r->election_at = now + raft_election_delay (r);
+  r->election_due_at = now + raft_election_delay (r);
   if (raft_set_term (r, r->term + 1, r->id) != CFS_OK)
     {
       raft_become_follower (r, 0, now);
@@ -60,7 +60,7 @@
 {
   r->role = RAFT_PRECANDIDATE;
   r->leader = 0;
-  r->election_at
+  r->election_due_at
       = now + RAFT_RETRY_US
         + (int64_t)(cfs_random (&r->seed) % (uint64_t)RAFT_RETRY_US);
   request_votes (r, MSG_PREVOTE, r->term + 1);
@@ -111,7 +111,7 @@
   if (grant && r->vote == 0 && raft_set_term (r, r->term, m->from) != CFS_OK)
     return;
   if (grant)
-    r->election_at = now + raft_election_delay (r);
+    r->election_due_at = now + raft_election_delay (r);
   raft_init_msg (r, &reply, MSG_VOTE_REPLY, m->from);
   reply.reject = !grant;
   r->ops->send (r->ctx, m->host, &reply);
