--- a/src/process/raft.c
+++ b/src/process/raft.c
@@ -338,7 +338,7 @@
       r->peers[i].match_index = 0;
       r->peers[i].acked_at = now;
     }
-  r->term_start = raft_last_index (r) + 1;
+  r->term_start_index = raft_last_index (r) + 1;
   raft_append_as_leader (r, CFS_RAFT_ENTRY_NOOP, NULL, 0, now);
 }
 
@@ -536,6 +536,6 @@
 {
   int64_t window = RAFT_ELECTION_US * (100 - RAFT_DRIFT_PERCENT) / 100;
 
-  return r->role == RAFT_LEADER && r->commit_index >= r->term_start
+  return r->role == RAFT_LEADER && r->commit_index >= r->term_start_index
          && now - majority_confirmed_at (r, now) < window;
 }
--- a/src/process/raft_int.h
+++ b/src/process/raft_int.h
@@ -57,7 +57,7 @@
   int64_t election_due_at;
   int64_t next_broadcast_at;
   int64_t next_join_at;
-  uint64_t term_start;
+  uint64_t term_start_index;
   uint64_t seed;
   bool manages_voters;
   int64_t surplus_voters_since;
--- a/src/process/raft_member.c
+++ b/src/process/raft_member.c
@@ -150,7 +150,7 @@
 static bool
 can_change_members (const struct cfs_raft *r)
 {
-  return r->role == RAFT_LEADER && r->commit_index >= r->term_start
+  return r->role == RAFT_LEADER && r->commit_index >= r->term_start_index
          && r->members_index <= r->commit_index;
 }
 
