--- a/src/process/raft.c
+++ b/src/process/raft.c
@@ -1,13 +1,15 @@
 /*
- * Raft with pre-vote, check-quorum, learners, snapshots and changes of one
- * member at a time.  It was chosen over primary-backup schemes because the
- * control group must decide leases without any outside store.
+ * Raft with pre-vote, check-quorum, learners, snapshots and single-member
+ * membership changes.  Raft was chosen over primary-backup replication
+ * because the control group must decide about leases without an external
+ * store.
  *
- * An append carries the leader's send time and the answer echoes it, so the
- * leader knows at which of its own times a majority last supported it.  A
- * voter that heard a leader within RAFT_ELECTION_US supports nobody else,
- * also right after its own start; so until that time plus RAFT_ELECTION_US,
- * less drift, no second leader exists.  Leases build on this.
+ * Leader leases: an append carries the leader's send time, and the reply
+ * echoes it, so the leader knows up to which of its own times a majority has
+ * followed it.  A voter that heard from a leader within RAFT_ELECTION_US
+ * grants no vote; a restart counts as hearing from one.  Until that time plus
+ * RAFT_ELECTION_US, less clock drift, there is therefore no second leader.
+ * The leases of the hosts rely on this.
  */
 #include "raft_int.h"
 
@@ -68,8 +70,8 @@
   m->host = (char *)r->host;
 }
 
-/* Sends to a member.  Replies go to the host that asked instead, because a
-   host that is not a member yet does not know the present identities. */
+/* Replies are not sent by this function but to the host name in the request:
+   the sender may not be in the membership that this host knows. */
 void
 raft_send_to (const struct cfs_raft *r, const Cfs__RaftMsg *m)
 {
@@ -107,7 +109,6 @@
   r->count = (size_t)(from - r->snapshot.index - 1);
 }
 
-/* Copies entries behind the end of the log after they are durable. */
 int
 raft_append_entries (struct cfs_raft *r, struct cfs_raft_entry *entries,
                      size_t count)
@@ -134,8 +135,8 @@
   return CFS_OK;
 }
 
-/* Whether the log is so long, or its applied entries so large, that a
-   snapshot is to replace them. */
+/* Whether the applied entries are so many or so large that a snapshot is to
+   replace them. */
 static bool
 snapshot_is_due (const struct cfs_raft *r)
 {
@@ -258,7 +259,8 @@
       send_append (r, &r->peers[i], now);
 }
 
-/* The newest of the leader's own times at which a majority supported it. */
+/* Latest time, by the clock of this leader, up to which a majority of the
+   voters is known to have followed it. */
 static int64_t
 majority_confirmed_at (const struct cfs_raft *r, int64_t now)
 {
--- a/src/process/raft.h
+++ b/src/process/raft.h
@@ -1,11 +1,13 @@
 /**
- * DOC: Replicated log of the control group.
+ * DOC: Replicated log of the control group (Raft).
  *
- * A state machine without I/O: events come in through the calls below with
- * the time as an argument; effects leave through struct cfs_raft_ops.  The
- * owner is one thread.  Voters are named by a 64-bit identity that is drawn
- * anew when a disk is lost, so that a host without its log never votes as
- * the voter it used to be.
+ * The implementation does no I/O and reads no clock: messages and ticks are
+ * passed in with the current time, and all effects go through struct
+ * cfs_raft_ops.  It is not thread-safe; one thread owns an instance.
+ *
+ * A member is identified by a random 64-bit id.  A host that lost its disk
+ * draws a new id, so that it never votes a second time under the id whose
+ * vote and log are gone.
  */
 #ifndef CFS_RAFT_H
 #define CFS_RAFT_H
@@ -13,37 +15,44 @@
 #include "../cfs.h"
 #include "wire.pb-c.h"
 
-/* Time between appends of an idle leader. */
+/* Heartbeat interval of the leader. */
 #define RAFT_HEARTBEAT_US (100 * CFS_US_PER_MS)
-/* Least silence of the leader after which a voter may support another. */
+/* Minimum election timeout: a voter that heard from a leader less than this
+   long ago grants neither a pre-vote nor a vote. */
 #define RAFT_ELECTION_US (500 * CFS_US_PER_MS)
-/* Least time between two questions whether a vote would be won. */
+/* Minimum time between two pre-vote rounds of a candidate. */
 #define RAFT_RETRY_US (150 * CFS_US_PER_MS)
-/* Allowance for the drift between two monotonic clocks, in percent. */
+/* Maximum rate difference between two monotonic clocks, in percent. */
 #define RAFT_DRIFT_PERCENT 2
-/* Entries kept in the log before a snapshot replaces them. */
+/* Number of applied entries at which a snapshot replaces them. */
 #define RAFT_SNAPSHOT_ENTRIES 512
-/* The same by their bytes: whole documents may be large. */
+/* Their size in bytes at which a snapshot replaces them: an entry may hold a
+   whole configuration document, so a few entries can be large. */
 #define RAFT_SNAPSHOT_BYTES (4u << 20)
-/* A member without an answer for this time counts as silent. */
+/* A voter that has not acknowledged an append for this long may be replaced.
+ */
 #define RAFT_VOTER_SILENT_US (2 * CFS_US_PER_S)
-/* A learner that is silent for this time is dropped; it may join again. */
+/* A learner that has not acknowledged an append for this long is removed; it
+   may join again.  Also how long a group has too many voters before one that
+   works is removed. */
 #define RAFT_LEARNER_SILENT_US (5 * CFS_US_PER_S)
-/* Voters wanted where members find one another: with few members and with
-   at least RAFT_LARGE_GROUP of them. */
+/* Desired number of voters if the group manages them: of a group with fewer
+   than RAFT_LARGE_GROUP live members, and of a larger one. */
 #define RAFT_VOTERS_SMALL_GROUP 3
 #define RAFT_VOTERS_LARGE_GROUP 5
 #define RAFT_LARGE_GROUP 5
-/* Entries sent in one append. */
+/* Maximum number of entries in one append message. */
 #define RAFT_BATCH 128
-/* The same by their bytes; an entry that is larger goes alone. */
+/* No further entry is added to an append message that holds this many bytes;
+   a larger entry is sent all the same. */
 #define RAFT_BATCH_BYTES (256u << 10)
 
 /**
- * enum cfs_raft_entry_kind - what a log entry holds
- * @CFS_RAFT_ENTRY_NOOP: empty entry that opens a leader's term
- * @CFS_RAFT_ENTRY_COMMAND: packed command of the state machine
- * @CFS_RAFT_ENTRY_MEMBERS: packed list of members
+ * enum cfs_raft_entry_kind - payload of a log entry
+ * @CFS_RAFT_ENTRY_NOOP: empty; the first entry of a leader's term, since a
+ * leader may commit entries of earlier terms only along with one of its own
+ * @CFS_RAFT_ENTRY_COMMAND: packed Cfs__Command for the state machine
+ * @CFS_RAFT_ENTRY_MEMBERS: packed Cfs__Members, in effect once appended
  */
 enum cfs_raft_entry_kind
 {
@@ -52,8 +61,7 @@
   CFS_RAFT_ENTRY_MEMBERS = 2
 };
 
-/** struct cfs_raft_entry - one entry; @data is owned by whoever holds the
- * array */
+/** struct cfs_raft_entry - log entry; the owner of the array owns @data */
 struct cfs_raft_entry
 {
   uint64_t index;
@@ -63,7 +71,8 @@
   uint8_t *data;
 };
 
-/** struct cfs_raft_member - one voter or learner of the group */
+/** struct cfs_raft_member - voter, or learner, which receives the log but has
+ * no vote */
 struct cfs_raft_member
 {
   uint64_t id;
@@ -73,14 +82,14 @@
 
 #define RAFT_MEMBERS_MAX 16
 
-/** struct cfs_raft_membership - the members that the log knows, by value */
+/** struct cfs_raft_membership - the members of the group */
 struct cfs_raft_membership
 {
   struct cfs_raft_member at[RAFT_MEMBERS_MAX];
   size_t count;
 };
 
-/** struct cfs_raft_snapshot - state machine image up to and with @index */
+/** struct cfs_raft_snapshot - serialized state after entry @index */
 struct cfs_raft_snapshot
 {
   uint64_t index;
@@ -93,17 +102,19 @@
 struct cfs_raft;
 
 /**
- * struct cfs_raft_ops - effects of the log
- * @save_vote: makes term and vote durable before it returns CFS_OK
- * @append: makes entries durable before it returns CFS_OK
- * @truncate: drops durable entries from @from on
- * @save_snapshot: makes a snapshot durable and drops the entries it covers
- * @send: sends a message to the control host of that name; may lose it
- * @apply: applies a committed command, once and in order
- * @restore: replaces the state machine by an image
- * @serialize: packs the state machine into malloc'd memory for the caller
+ * struct cfs_raft_ops - callbacks for storage, network and state machine
+ * @save_vote: stores term and vote; durable when it returns CFS_OK
+ * @append: stores entries at the end; durable when it returns CFS_OK
+ * @truncate: removes stored entries with index @from and above
+ * @save_snapshot: stores a snapshot durably and removes the entries that it
+ * covers
+ * @send: sends a message to a control host by name; delivery is best effort
+ * @apply: applies a committed command; called once for each, in log order
+ * @restore: replaces the state machine by a serialized state
+ * @serialize: serializes the state machine into memory that the caller frees
  *
- * A status other than CFS_OK leaves the log as it was before the call.
+ * If a storage callback returns anything but CFS_OK, the log in memory stays
+ * as it was before the call.
  */
 struct cfs_raft_ops
 {
@@ -127,10 +138,19 @@
 };
 
 /**
- * struct cfs_raft_initial_state - what was on disk, or the first members
- * @manages_voters: members find one another: the group keeps an odd number of
- * voters and replaces silent ones by learners that have caught up; without
- * it every learner becomes a voter and stays one
+ * struct cfs_raft_initial_state - durable state and options at the start
+ * @manages_voters: the leader keeps the number of voters at
+ * RAFT_VOTERS_SMALL_GROUP or RAFT_VOTERS_LARGE_GROUP and replaces unreachable
+ * voters by learners that have caught up; if false, every learner that has
+ * caught up becomes a voter, and a member is removed only when its host joins
+ * under a new id
+ * @id: identity of this member
+ * @term: current term
+ * @vote: id of the candidate voted for in @term, or 0
+ * @snapshot: last snapshot; holds the first members if the log is new
+ * @entries: log entries after the snapshot
+ * @count: their number
+ * @seed: seed of the random election timeouts
  */
 struct cfs_raft_initial_state
 {
@@ -145,31 +165,31 @@
 };
 
 /**
- * cfs_raft_new() - starts the log from what was durable
- * @ops: effects, must outlive the log
- * @ctx: first argument of every effect
- * @initial: durable state; entry data and snapshot data pass to the log
+ * cfs_raft_new() - creates a follower from durable state
+ * @ops: callbacks, must outlive the log
+ * @ctx: first argument of every callback
+ * @initial: durable state; the log takes ownership of entries and snapshot
  * @host: name of this host, at most CFS_NAME_MAX - 1 bytes
- * @now: time
+ * @now: current time
  *
- * Calls @ops->restore when the boot holds a snapshot.
- * Return: the log, freed by cfs_raft_free().
+ * Calls @ops->restore if the snapshot has data.
+ * Return: the log, to be freed with cfs_raft_free().
  */
 struct cfs_raft *cfs_raft_new (const struct cfs_raft_ops *ops, void *ctx,
                                struct cfs_raft_initial_state *initial,
                                const char *host, int64_t now);
 
-/** cfs_raft_free() - frees the log and all entries in memory */
+/** cfs_raft_free() - frees the log, its entries and its snapshot */
 void cfs_raft_free (struct cfs_raft *raft);
 
-/** cfs_raft_tick() - advances timers; to be called at least every 20 ms */
+/** cfs_raft_tick() - runs timers that are due; call at least every 20 ms */
 void cfs_raft_tick (struct cfs_raft *raft, int64_t now);
 
 /**
  * cfs_raft_receive() - handles a message of another member
  * @raft: the log
- * @msg: message, unchanged and not kept
- * @now: time
+ * @msg: message; neither modified nor kept after the call
+ * @now: current time
  */
 void cfs_raft_receive (struct cfs_raft *raft, const Cfs__RaftMsg *msg,
                        int64_t now);
@@ -179,49 +199,54 @@
  * @raft: the log
  * @data: packed command, copied
  * @len: its length
- * @now: time
+ * @now: current time
  * @index: set to the index of the entry, may be NULL
  *
- * Return: CFS_OK, CFS_NOT_LEADER, or CFS_IO when the disk refused it.
+ * CFS_OK means that the entry is in the log of this host, not that it is
+ * committed.
+ * Return: CFS_OK, CFS_NOT_LEADER, or the error of the append callback, in
+ * which case the host is no longer leader.
  */
 int cfs_raft_propose (struct cfs_raft *raft, const uint8_t *data, size_t len,
                       int64_t now, uint64_t *index);
 
 /**
- * cfs_raft_leave() - asks to be replaced before a planned stop
+ * cfs_raft_leave() - asks the leader to replace this voter before a shutdown
  *
- * To be called repeatedly.  Return: whether a replacement is there, so that
- * waiting for it makes sense; false once this host is no voter any more.
+ * To be called repeatedly, since the request may be lost.
+ * Return: whether the caller should wait: true while this host is a voter and
+ * the group has a learner or more than RAFT_VOTERS_SMALL_GROUP voters.
  */
 bool cfs_raft_leave (struct cfs_raft *raft, int64_t now);
 
-/** cfs_raft_role() - the present role */
+/** cfs_raft_role() - role of this host in the current term */
 enum cfs_raft_role cfs_raft_role (const struct cfs_raft *raft);
 
-/** cfs_raft_term() - the present term */
+/** cfs_raft_term() - current term */
 uint64_t cfs_raft_term (const struct cfs_raft *raft);
 
-/** cfs_raft_commit_index() - index up to which entries are committed */
+/** cfs_raft_commit_index() - index of the last committed entry */
 uint64_t cfs_raft_commit_index (const struct cfs_raft *raft);
 
 /** cfs_raft_last_index() - index of the last entry in the log */
 uint64_t cfs_raft_last_index (const struct cfs_raft *raft);
 
-/** cfs_raft_members() - the present members; valid until the next call */
+/** cfs_raft_members() - current members; may change with the next message or
+ * tick */
 const struct cfs_raft_membership *
 cfs_raft_members (const struct cfs_raft *raft);
 
-/** cfs_raft_leader() - host name of the known leader, "" when none */
+/** cfs_raft_leader() - host name of the leader, "" if none is known */
 const char *cfs_raft_leader (const struct cfs_raft *raft);
 
 /**
- * cfs_raft_leader_confirmed() - whether this host leads and has applied its
- * own term
+ * cfs_raft_leader_confirmed() - whether this host is certainly the leader
  * @raft: the log
- * @now: time
+ * @now: current time
  *
- * True only while a majority has confirmed the leadership recently enough
- * that no other leader can exist, with the drift allowance.
+ * True only if an entry of its own term is committed, and if a majority of
+ * the voters acknowledged it so recently that, clock drift included, none of
+ * them can have voted for another leader yet.
  */
 bool cfs_raft_leader_confirmed (const struct cfs_raft *raft, int64_t now);
 
--- a/src/process/raft_follow.c
+++ b/src/process/raft_follow.c
@@ -1,6 +1,6 @@
 /*
- * A follower: entries and snapshots of the leader are durable before they are
- * confirmed; entries that the leader does not have are dropped.
+ * Follower: stores entries and snapshots of the leader durably before it
+ * acknowledges them, and removes entries that conflict with the leader's.
  */
 #include "raft_int.h"
 
@@ -21,7 +21,8 @@
   r->ops->send (r->ctx, m->host, &reply);
 }
 
-/* Accepts the sender as leader of its term.  Returns false for a stale one. */
+/* Takes the sender as leader of its term.  False if the term is out of date
+   or cannot be stored. */
 static bool
 accept_leader (struct cfs_raft *r, const Cfs__RaftMsg *m, int64_t now)
 {
@@ -37,8 +38,9 @@
   return true;
 }
 
-/* Appends what is new.  Invariant of the first loop: entries before i are
-   in the log already with the same term. */
+/* Appends those entries of the message that the log does not hold yet, after
+   removing conflicting ones.  Loop invariant: entries before i are in the log
+   or in the snapshot, with the same term. */
 static int
 store_entries (struct cfs_raft *r, const Cfs__RaftMsg *m)
 {
--- a/src/process/raft_int.h
+++ b/src/process/raft_int.h
@@ -1,13 +1,24 @@
 /**
- * DOC: Private parts of the replicated log, shared by raft.c,
- * raft_vote.c, raft_follow.c and raft_member.c.
+ * DOC: Internals of the replicated log, shared by raft.c, raft_vote.c,
+ * raft_follow.c and raft_member.c.
  */
 #ifndef CFS_RAFT_INT_H
 #define CFS_RAFT_INT_H
 
 #include "raft.h"
 
-/** enum raft_msg_type - kinds of messages between members */
+/**
+ * enum raft_msg_type - value of RaftMsg.type
+ * @MSG_PREVOTE: asks whether a vote for the sender would be granted
+ * @MSG_PREVOTE_REPLY: answer to it
+ * @MSG_VOTE: requests a vote
+ * @MSG_VOTE_REPLY: answer to it
+ * @MSG_APPEND: entries of the leader; without entries a heartbeat
+ * @MSG_APPEND_REPLY: answer to an append or to a snapshot
+ * @MSG_SNAPSHOT: snapshot of the leader for a follower that is too far behind
+ * @MSG_JOIN: a host that is no member asks to become one
+ * @MSG_LEAVE: a voter asks to be replaced before it stops
+ */
 enum raft_msg_type
 {
   MSG_PREVOTE = 1,
@@ -21,7 +32,17 @@
   MSG_LEAVE
 };
 
-/** struct raft_peer - what the leader knows of another member */
+/**
+ * struct raft_peer - progress of a member, as seen by this host
+ * @id: identity of the member
+ * @next_index: index of the next entry to send
+ * @match_index: highest index known to be stored by the member
+ * @acked_at: send time, by the clock of this leader, of the last append that
+ * the member answered
+ * @sent_at: time of the last append or snapshot to it
+ * @vote_granted: it granted its (pre-)vote in the election under way
+ * @leaving: it asked to be replaced
+ */
 struct raft_peer
 {
   uint64_t id;
@@ -33,6 +54,25 @@
   bool leaving;
 };
 
+/**
+ * struct cfs_raft - state of one member
+ * @log: entries after the snapshot; the one with index
+ * snapshot.index + 1 + i is log[i]
+ * @commit_index: last entry known to be committed
+ * @applied_index: last entry applied to the state machine
+ * @members_index: index of the entry or the snapshot that holds @members
+ * @peers: progress of each member, in the order of @members
+ * @leader: id of the known leader, or 0
+ * @clock: time of the last tick or message
+ * @heard_at: time of the last append or snapshot of a leader; the start counts
+ * as one
+ * @election_due_at: a voter starts a pre-vote at this time
+ * @next_broadcast_at: the leader sends its next heartbeat at this time
+ * @next_join_at: a host that is no member asks again at this time
+ * @term_start_index: index of the leader's first entry in its term
+ * @seed: state of the random number generator
+ * @surplus_voters_since: since when the group has had too many voters, or 0
+ */
 struct cfs_raft
 {
   const struct cfs_raft_ops *ops;
@@ -63,109 +103,111 @@
   int64_t surplus_voters_since;
 };
 
-/** raft_last_index() - index of the last entry */
+/** raft_last_index() - index of the last entry in the log */
 uint64_t raft_last_index (const struct cfs_raft *raft);
 
-/** raft_entry_at() - entry in memory at an index, or NULL */
+/** raft_entry_at() - entry with an index, or NULL if it is not in the log */
 struct cfs_raft_entry *raft_entry_at (const struct cfs_raft *raft,
                                       uint64_t index);
 
-/** raft_term_at() - term of an entry or of the snapshot's last, or 0 */
+/** raft_term_at() - term of an entry or of the snapshot; 0 if unknown */
 uint64_t raft_term_at (const struct cfs_raft *raft, uint64_t index);
 
-/** raft_is_voter() - whether a member votes */
+/** raft_is_voter() - whether @id is a voter of the group */
 bool raft_is_voter (const struct cfs_raft *raft, uint64_t id);
 
-/** raft_majority() - number of voters that decide */
+/** raft_majority() - number of voters that form a majority */
 size_t raft_majority (const struct cfs_raft *raft);
 
-/** raft_set_term() - makes term and vote durable; CFS_OK when done */
+/** raft_set_term() - stores term and vote durably, then takes them over */
 int raft_set_term (struct cfs_raft *raft, uint64_t term, uint64_t vote);
 
-/** raft_become_follower() - stops leading; @leader may be 0 */
+/** raft_become_follower() - of @leader, or of none if it is 0 */
 void raft_become_follower (struct cfs_raft *raft, uint64_t leader,
                            int64_t now);
 
-/** raft_become_leader() - after an election was won */
+/** raft_become_leader() - after a won election */
 void raft_become_leader (struct cfs_raft *raft, int64_t now);
 
-/** raft_election_delay() - time without a leader before it asks for votes */
+/** raft_election_delay() - random election timeout */
 int64_t raft_election_delay (struct cfs_raft *raft);
 
-/** raft_start_prevote() - asks whether an election would be won */
+/** raft_start_prevote() - asks the voters whether they would grant a vote */
 void raft_start_prevote (struct cfs_raft *raft, int64_t now);
 
-/** raft_on_prevote() - answers whether it would be supported */
+/** raft_on_prevote() - answers a pre-vote request */
 void raft_on_prevote (struct cfs_raft *raft, const Cfs__RaftMsg *msg,
                       int64_t now);
 
-/** raft_on_vote() - votes, or refuses to */
+/** raft_on_vote() - answers a vote request */
 void raft_on_vote (struct cfs_raft *raft, const Cfs__RaftMsg *msg,
                    int64_t now);
 
-/** raft_on_vote_reply() - counts the answers of either kind */
+/** raft_on_vote_reply() - counts votes and pre-votes */
 void raft_on_vote_reply (struct cfs_raft *raft, const Cfs__RaftMsg *msg,
                          int64_t now);
 
-/** raft_init_msg() - fills the head of a message */
+/** raft_init_msg() - sets type, sender, receiver and term of a message */
 void raft_init_msg (const struct cfs_raft *raft, Cfs__RaftMsg *msg,
                     enum raft_msg_type type, uint64_t to);
 
-/** raft_send_to() - sends to a member by its identity */
+/** raft_send_to() - sends to the member msg->to; does nothing if it is none */
 void raft_send_to (const struct cfs_raft *raft, const Cfs__RaftMsg *msg);
 
-/** raft_drop_entries() - forgets entries in memory from an index on */
+/** raft_drop_entries() - frees the entries in memory from an index on */
 void raft_drop_entries (struct cfs_raft *raft, uint64_t from);
 
-/** raft_append_entries() - copies entries behind the log once durable */
+/** raft_append_entries() - stores entries durably, then appends copies */
 int raft_append_entries (struct cfs_raft *raft, struct cfs_raft_entry *entries,
                          size_t count);
 
-/** raft_apply_committed() - hands committed entries to the state */
+/** raft_apply_committed() - applies committed commands to the state machine */
 void raft_apply_committed (struct cfs_raft *raft);
 
-/** raft_on_append() - entries or a heartbeat of a leader */
+/** raft_on_append() - handles entries or a heartbeat of a leader */
 void raft_on_append (struct cfs_raft *raft, const Cfs__RaftMsg *msg,
                      int64_t now);
 
-/** raft_on_snapshot() - a leader replaces state and log */
+/** raft_on_snapshot() - replaces state and log by a leader's snapshot */
 void raft_on_snapshot (struct cfs_raft *raft, const Cfs__RaftMsg *msg,
                        int64_t now);
 
-/** raft_append_as_leader() - appends an entry on the leader */
+/** raft_append_as_leader() - appends an entry and replicates it */
 int raft_append_as_leader (struct cfs_raft *raft,
                            enum cfs_raft_entry_kind kind, const uint8_t *data,
                            size_t len, int64_t now);
 
-/** raft_find_member() - member of this identity, or NULL */
+/** raft_find_member() - member with this id, or NULL */
 const struct cfs_raft_member *raft_find_member (const struct cfs_raft *raft,
                                                 uint64_t id);
 
-/** raft_find_peer() - what is known of a member, or NULL */
+/** raft_find_peer() - progress of the member with this id, or NULL */
 struct raft_peer *raft_find_peer (struct cfs_raft *raft, uint64_t id);
 
-/** raft_unpack_members() - members of an entry; false when malformed */
+/** raft_unpack_members() - decodes a members entry; false if malformed */
 bool raft_unpack_members (const struct cfs_raft_entry *entry,
                           struct cfs_raft_membership *out);
 
-/** raft_pack_members() - packs members into memory that the caller frees */
+/** raft_pack_members() - encodes members into memory that the caller frees */
 size_t raft_pack_members (const struct cfs_raft_membership *members,
                           uint8_t **data);
 
-/** raft_restore_members() - finds the last list of members in the log */
+/** raft_restore_members() - takes the members from the last members entry of
+ * the log, or else from the snapshot */
 void raft_restore_members (struct cfs_raft *raft);
 
-/** raft_send_join() - asks every member to be taken in */
+/** raft_send_join() - sends a join request to every known member */
 void raft_send_join (struct cfs_raft *raft, int64_t now);
 
-/** raft_on_join() - handles the question of a host that is no member */
+/** raft_on_join() - handles the join request of a host that is no member */
 void raft_on_join (struct cfs_raft *raft, const Cfs__RaftMsg *msg,
                    int64_t now);
 
-/** raft_on_leave() - a member is about to stop for a planned reason */
+/** raft_on_leave() - marks a voter as about to stop */
 void raft_on_leave (struct cfs_raft *raft, const Cfs__RaftMsg *msg);
 
-/** raft_maintain_members() - makes at most one change of members */
+/** raft_maintain_members() - on the leader, makes at most one change of the
+ * membership if one is due */
 void raft_maintain_members (struct cfs_raft *raft, int64_t now);
 
 #endif
--- a/src/process/raft_member.c
+++ b/src/process/raft_member.c
@@ -1,7 +1,8 @@
 /*
- * Members of the group: their list in the log, hosts that ask to be taken
- * in, and learners that become voters.  One change at a time, each committed
- * before the next, keeps two majorities from ever being disjoint.
+ * Group membership: the members entries of the log, join requests, promotion
+ * of learners and replacement of voters.  A change adds, removes or promotes
+ * one member and is committed before the next one starts, so that any
+ * majority before a change overlaps with any majority after it.
  */
 #include "raft_int.h"
 
@@ -73,7 +74,8 @@
   return len;
 }
 
-/* Takes over a list of members and keeps what is known of each peer. */
+/* Replaces the membership; members that stay keep their progress.  The
+   silence of a new member counts from now. */
 static void
 set_members (struct cfs_raft *r, const struct cfs_raft_membership *members,
              uint64_t index)
@@ -99,8 +101,8 @@
   r->members_index = index;
 }
 
-/* Finds the last list of members in the log after a truncation or a start.
-   Invariant of the loop: entries above i hold no list of members. */
+/* Called at the start, after an append that holds a members entry, and after
+   a truncation.  Loop invariant: no entry above i is a valid members entry. */
 void
 raft_restore_members (struct cfs_raft *r)
 {
@@ -119,7 +121,6 @@
   set_members (r, &r->snapshot.members, r->snapshot.index);
 }
 
-/* A host outside the group asks the leader to be taken in. */
 void
 raft_send_join (struct cfs_raft *r, int64_t now)
 {
@@ -163,8 +164,9 @@
   return false;
 }
 
-/* Whether a learner is still catching up; in an elastic group those that
-   have caught up may stay learners. */
+/* Whether a learner still has to catch up.  If the group manages its voters,
+   a learner within RAFT_BATCH entries of the commit index may stay one; if it
+   does not, every learner is on its way to become a voter. */
 static bool
 learner_is_catching_up (const struct cfs_raft *r)
 {
@@ -176,8 +178,8 @@
   return false;
 }
 
-/* A host that joins may know only members that do not lead: these pass its
-   question on, once. */
+/* A joining host may know followers only: these forward its request to the
+   leader.  round marks a forwarded request, which is not forwarded again. */
 static void
 forward_join (const struct cfs_raft *r, const Cfs__RaftMsg *m)
 {
@@ -190,9 +192,10 @@
   r->ops->send (r->ctx, leader->host, &copy);
 }
 
-/* A new identity of a known host first pushes out the old one, then comes in
-   as a learner; each step waits until the one before is committed, and no
-   second repair starts while a learner is there. */
+/* If the host is a member under another id (it lost its disk), that member is
+   removed; the next join request then adds the host as a learner.  One repair
+   finishes before the next begins: no such voter is removed while a learner
+   exists, and no learner is added while one is catching up. */
 void
 raft_on_join (struct cfs_raft *r, const Cfs__RaftMsg *m, int64_t now)
 {
@@ -230,7 +233,8 @@
   return r->peers[i].id != r->id && now - r->peers[i].acked_at > bound;
 }
 
-/* A learner that has everything and answers, or the number of members. */
+/* Position of a learner that has caught up and is reachable, or the number of
+   members if there is none. */
 static size_t
 find_ready_learner (const struct cfs_raft *r, int64_t now)
 {
@@ -244,7 +248,8 @@
   return i;
 }
 
-/* A voter that is silent or leaves, or the number of members. */
+/* Position of a voter that is unreachable or about to stop, or the number of
+   members if there is none. */
 static size_t
 find_replaceable_voter (const struct cfs_raft *r, int64_t now)
 {
@@ -289,8 +294,10 @@
   change_members (r, &next, now);
 }
 
-/* The member to remove from a group with more voters than wanted: one that
-   fails, or after a while the last that does not lead. */
+/* Position of the voter to remove from a group that has too many: one that is
+   unreachable or about to stop or, once the surplus has lasted for
+   RAFT_LEARNER_SILENT_US, the last one other than the leader.  The number of
+   members if none is to be removed yet. */
 static size_t
 find_surplus_voter (struct cfs_raft *r, int64_t now)
 {
--- a/src/process/raft_vote.c
+++ b/src/process/raft_vote.c
@@ -1,7 +1,8 @@
 /*
- * Elections.  A member asks whether it would win before it raises the term,
- * so one that was cut off does not disturb the others when it returns.  A
- * voter that heard a leader lately supports nobody else.
+ * Elections.  A pre-vote round precedes each election: a voter increments its
+ * term only if a majority would vote for it, so that a voter which was
+ * partitioned away does not depose the leader when it returns.  A voter that
+ * heard from a leader within RAFT_ELECTION_US grants no vote.
  */
 #include "raft_int.h"
 
