--- a/src/process/state.c
+++ b/src/process/state.c
@@ -302,7 +302,7 @@
 
 void
 cfs_group_message (const struct cfs_group *g, Cfs__Group *out,
-                   Cfs__Branch *rows, Cfs__Branch **list)
+                   Cfs__Branch *branches, Cfs__Branch **list)
 {
   cfs__group__init (out);
   out->name = (char *)g->name;
@@ -313,10 +313,10 @@
   out->changed = g->changed;
   for (size_t i = 0; i < g->branch_count; i++)
     {
-      cfs__branch__init (&rows[i]);
-      rows[i].term = g->branches[i].term;
-      rows[i].start = g->branches[i].start;
-      list[i] = &rows[i];
+      cfs__branch__init (&branches[i]);
+      branches[i].term = g->branches[i].term;
+      branches[i].start = g->branches[i].start;
+      list[i] = &branches[i];
     }
   out->branch = list;
   out->n_branch = g->branch_count;
--- a/src/process/state.h
+++ b/src/process/state.h
@@ -153,11 +153,11 @@
  * cfs_group_message() - fills a message with pointers into @group
  * @group: group
  * @out: message
- * @rows: room for STATE_BRANCHES_MAX rows
+ * @branches: room for STATE_BRANCHES_MAX rows
  * @list: room for as many pointers
  */
 void cfs_group_message (const struct cfs_group *group, Cfs__Group *out,
-                        Cfs__Branch *rows, Cfs__Branch **list);
+                        Cfs__Branch *branches, Cfs__Branch **list);
 
 /** cfs_group_load() - copies a message into a row, except for the name */
 void cfs_group_load (struct cfs_group *group, const Cfs__Group *in);
