--- a/src/process/state.c
+++ b/src/process/state.c
@@ -1,7 +1,7 @@
 /*
- * Commands are decided here, at the moment they are applied, and not when
- * they are proposed: two operators or two leaders may race, and only the
- * order of the log says who came first.
+ * Preconditions of a command are checked when it is applied, not when it is
+ * proposed: commands of two operators or of two successive leaders may race,
+ * and only the log order decides which of them came first.
  */
 #include "state.h"
 
@@ -114,7 +114,8 @@
   l->changed = a->changed;
 }
 
-/* An assignment holds only when it follows on the epoch it was made for. */
+/* Compare-and-set: an assignment takes effect only if its epoch is the
+   successor of the lease's current one. */
 static void
 apply_assignments (struct cfs_state *s, const Cfs__AssignBatch *batch,
                    uint64_t index)
@@ -151,8 +152,8 @@
   s->directory_index = index;
 }
 
-/* The first term of a group is taken as announced; each later one must have
-   been granted. */
+/* The first term of a group is taken as its primary announced it; each later
+   one must have been granted before. */
 static void
 apply_term_done (struct cfs_state *s, const Cfs__TermDone *d, uint64_t index)
 {
@@ -178,8 +179,9 @@
   s->directory_index = index;
 }
 
-/* A whole document replaces the one held only under a higher number; there
-   is no patch that leads to it, so hosts get it as a whole. */
+/* A whole document takes effect only with a higher number than the current
+   version.  No patch leads to it, so the history is dropped and hosts get the
+   document itself. */
 static void
 apply_document (struct cfs_state *s, const Cfs__Document *d)
 {
@@ -342,7 +344,7 @@
     }
 }
 
-/* Rows of a snapshot message while it is packed; freed in one place. */
+/* Messages that a Cfs__Snapshot refers to while it is packed. */
 struct snapshot_buffers
 {
   Cfs__Version *versions;
