--- a/src/command/host.c
+++ b/src/command/host.c
@@ -90,7 +90,7 @@
   if (!s)
     return EXIT_USAGE;
   cfs_log_open (s->host, CFS_INFO);
-  if (s->by_seeds && !cfs_settings_serves_sessions (s))
+  if (s->uses_seeds && !cfs_settings_serves_sessions (s))
     ok = cfs_core_serve (s, &error);
   else
     ok = cfs_node_serve (s, &error);
--- a/src/process/control.c
+++ b/src/process/control.c
@@ -75,7 +75,7 @@
   out.raft = (Cfs__RaftMsg *)msg;
   if (p)
     cfs_net_send (c->net, p->address, p->port, &out);
-  else if (c->settings->by_seeds)
+  else if (c->settings->uses_seeds)
     cfs_net_send (c->net, host, c->settings->peer_port, &out);
 }
 
@@ -257,7 +257,7 @@
       patch.patch = request->body;
       patch.who = request->who;
       patch.request_id = request->request_id;
-      patch.when_ms = cfs_wall_ms ();
+      patch.when_ms = cfs_wall_clock_ms ();
       cmd.body_case = CFS__COMMAND__BODY_PATCH;
       cmd.patch = &patch;
       control_propose (c, &cmd);
@@ -503,7 +503,7 @@
 static bool
 prepare_folder (const struct cfs_settings *s, GError **error)
 {
-  if (!s->by_seeds || !s->first_start || cfs_disk_exists (s->data_folder))
+  if (!s->uses_seeds || !s->first_start || cfs_disk_exists (s->data_folder))
     return true;
   for (size_t i = 0; i < s->control_count; i++)
     if (strcmp (s->control[i].host, s->host) == 0)
@@ -524,7 +524,7 @@
   cfs_state_init (&c->state);
   randombytes_buf (&new_id, sizeof new_id);
   randombytes_buf (&boot.seed, sizeof boot.seed);
-  boot.manages_voters = settings->by_seeds;
+  boot.manages_voters = settings->uses_seeds;
   control_fleet_init (c);
   if (prepare_folder (settings, error))
     c->disk = cfs_disk_open (settings->data_folder, &boot, new_id | 2, error);
--- a/src/process/control_client.c
+++ b/src/process/control_client.c
@@ -82,7 +82,7 @@
   for (size_t i = 0; i < c->peer_count; i++)
     if (strcmp (c->peers[i].host, name) == 0)
       return;
-  if (!c->settings->by_seeds || c->peer_count == PEERS_MAX)
+  if (!c->settings->uses_seeds || c->peer_count == PEERS_MAX)
     return;
   p = &c->peers[c->peer_count++];
   cfs_copy (p->host, sizeof p->host, name);
@@ -109,7 +109,7 @@
 {
   char leader[CFS_NAME_MAX];
 
-  if (r->n_members == 0 || !c->settings->by_seeds)
+  if (r->n_members == 0 || !c->settings->uses_seeds)
     return;
   cfs_copy (leader, sizeof leader, c->peers[c->leader].host);
   c->peer_count = 0;
@@ -291,7 +291,7 @@
 static int64_t
 lease_end (const struct cfs_control_client *c, const Cfs__HeartbeatReply *r)
 {
-  if (c->settings->by_seeds)
+  if (c->settings->uses_seeds)
     return c->heartbeat_sent_at + c->settings->document_lease_us;
   return r->granted ? c->heartbeat_sent_at + LEASE_US : 0;
 }
--- a/src/process/control_fleet.c
+++ b/src/process/control_fleet.c
@@ -229,7 +229,7 @@
     return CFS_NOT_LEADER;
   d.number = number;
   d.body = (char *)body;
-  d.when_ms = cfs_wall_ms ();
+  d.when_ms = cfs_wall_clock_ms ();
   cmd.body_case = CFS__COMMAND__BODY_DOCUMENT;
   cmd.document = &d;
   return await_commit (c, control_propose (c, &cmd), on_result, tag, now);
--- a/src/process/core.c
+++ b/src/process/core.c
@@ -4,7 +4,7 @@
  */
 #include "core.h"
 
-#include "../../platform/desk.h"
+#include "../../platform/control_api.h"
 #include "../../platform/document.h"
 #include "../../platform/instances.h"
 #include "../../platform/promotion.h"
@@ -27,7 +27,7 @@
   apr_pool_t *pool;
   struct cfs_loop *loop;
   struct cfs_control *control;
-  struct desk *desk;
+  struct control_api *control_api;
   struct cfs_target_adapter *targets;
   struct promotion *promotion;
 };
@@ -53,7 +53,8 @@
 static void
 order (void *ctx, const char *service, const char *target, uint64_t fence)
 {
-  promotion_order (((struct core *)ctx)->promotion, service, target, fence);
+  promotion_client_send (((struct core *)ctx)->promotion, service, target,
+                         fence);
 }
 
 static void
@@ -68,11 +69,11 @@
 serve_fleet (struct core *c, const struct cfs_settings *settings)
 {
   struct cfs_control_fleet_setup setup
-      = { .documents = &document_edge, .promote = order, .ctx = c };
+      = { .documents = &document_decoder, .promote = order, .ctx = c };
 
-  c->targets = instances_edge_new (c->loop);
-  c->promotion = promotion_new (settings->promotion_address, settings->host,
-                                ordered, c);
+  c->targets = instances_adapter_new (c->loop);
+  c->promotion = promotion_client_new (settings->promotion_address,
+                                       settings->host, ordered, c);
   setup.targets = c->targets;
   cfs_control_serve_fleet (c->control, &setup);
 }
@@ -88,18 +89,18 @@
   if (c->control)
     {
       serve_fleet (c, settings);
-      c->desk = desk_new (settings, c->control, c->loop, error);
+      c->control_api = control_api_new (settings, c->control, c->loop, error);
     }
-  return c->desk != NULL;
+  return c->control_api != NULL;
 }
 
 static void
 end (struct core *c)
 {
-  desk_free (c->desk);
+  control_api_free (c->control_api);
   cfs_control_free (c->control);
-  promotion_free (c->promotion);
-  instances_edge_free (c->targets);
+  promotion_client_free (c->promotion);
+  instances_adapter_free (c->targets);
   zmq_ctx_term (c->zmq);
   apr_pool_destroy (c->pool);
   apr_terminate ();
@@ -109,9 +110,9 @@
 turn (struct core *c)
 {
   cfs_control_pump (c->control);
-  desk_pump (c->desk);
+  control_api_pump (c->control_api);
   cfs_loop_poll (c->loop, TICK_US);
-  promotion_pump (c->promotion);
+  promotion_client_pump (c->promotion);
   cfs_control_tick (c->control, cfs_now ());
 }
 
--- a/src/process/front.c
+++ b/src/process/front.c
@@ -12,10 +12,10 @@
 #include "../../platform/callers.h"
 #include "../../platform/document.h"
 #include "../../platform/instances.h"
-#include "../../platform/ready.h"
+#include "../../platform/readiness.h"
 #include "log.h"
 #include "leader.h"
-#include "pair.h"
+#include "thread_channel.h"
 #include "shares.h"
 #include "traffic.h"
 
@@ -53,7 +53,7 @@
   struct cfs_sessions *sessions;
   struct callers *callers;
   struct ready *ready;
-  struct cfs_pair *pair;
+  struct cfs_thread_channel *pair;
   int64_t uses_at;
   uint64_t suspects_hash;
   bool draining;
@@ -89,26 +89,26 @@
   struct cfs_front *f = cfs_alloc (sizeof *f);
   struct cfs_sessions_setup sessions
       = { .fleet = &f->fleet, .quota = &f->quota };
-  struct ready_setup ready = { .address = settings->ready_address,
-                               .is_ready = is_ready,
-                               .metrics = metrics,
-                               .ctx = f };
+  struct readiness_server_setup ready = { .address = settings->ready_address,
+                                          .is_ready = is_ready,
+                                          .metrics = metrics,
+                                          .ctx = f };
 
   f->settings = settings;
   f->suspects_hash = 1;
-  cfs_fleet_init (&f->fleet, settings, &document_edge);
+  cfs_fleet_init (&f->fleet, settings, &document_decoder);
   cfs_quota_init (&f->quota, cfs_now ());
   apr_pool_create (&f->apr, NULL);
   f->loop = cfs_loop_new (f->apr);
-  f->pair = cfs_pair_new (zmq, TRAFFIC_ENDPOINT, false, f->loop);
-  f->edge = instances_edge_new (f->loop);
+  f->pair = cfs_thread_channel_new (zmq, TRAFFIC_ENDPOINT, false, f->loop);
+  f->edge = instances_adapter_new (f->loop);
   f->pool = cfs_pool_new (f->edge, &f->fleet, cfs_now,
                           cfs_hash (settings->host, strlen (settings->host), 1)
                               | 1);
   sessions.pool = f->pool;
   f->sessions = cfs_sessions_new (&sessions);
   ready.loop = f->loop;
-  f->ready = ready_new (&ready, error);
+  f->ready = readiness_server_new (&ready, error);
   if (f->ready)
     f->callers
         = callers_new (f->loop, settings->session_address, f->sessions, error);
@@ -126,9 +126,9 @@
   callers_free (f->callers);
   cfs_sessions_free (f->sessions);
   cfs_pool_free (f->pool);
-  instances_edge_free (f->edge);
-  ready_free (f->ready);
-  cfs_pair_free (f->pair);
+  instances_adapter_free (f->edge);
+  readiness_server_free (f->ready);
+  cfs_thread_channel_free (f->pair);
   cfs_quota_end (&f->quota);
   cfs_fleet_end (&f->fleet);
   apr_pool_destroy (f->apr);
@@ -178,7 +178,7 @@
 {
   Cfs__Peer *msg;
 
-  while ((msg = cfs_pair_receive (f->pair)))
+  while ((msg = cfs_thread_channel_receive (f->pair)))
     {
       if (msg->body_case == CFS__PEER__BODY_REPLY)
         take_reply (f, msg->reply);
@@ -230,7 +230,7 @@
   h.idle_us = now - f->quota.used_at;
   out.body_case = CFS__PEER__BODY_HEARTBEAT;
   out.heartbeat = &h;
-  cfs_pair_send (f->pair, &out);
+  cfs_thread_channel_send (f->pair, &out);
   free (h.uses);
   free (rows);
 }
@@ -268,7 +268,7 @@
   f->suspects_hash = hash;
   out.body_case = CFS__PEER__BODY_HEARTBEAT;
   out.heartbeat = &h;
-  cfs_pair_send (f->pair, &out);
+  cfs_thread_channel_send (f->pair, &out);
 }
 
 /* Asks for tokens where operations wait for them. */
@@ -301,7 +301,7 @@
   ask.teams = list;
   out.body_case = CFS__PEER__BODY_TOKENS_ASK;
   out.tokens_ask = &ask;
-  cfs_pair_send (f->pair, &out);
+  cfs_thread_channel_send (f->pair, &out);
 }
 
 static void
@@ -322,7 +322,7 @@
 {
   int64_t now;
 
-  ready_pump (f->ready);
+  readiness_server_pump (f->ready);
   pump_pair (f);
   cfs_loop_poll (f->loop, TICK_US);
   pump_pair (f);
--- a/src/process/loop.c
+++ b/src/process/loop.c
@@ -41,7 +41,7 @@
 }
 
 uint64_t
-cfs_wall_ms (void)
+cfs_wall_clock_ms (void)
 {
   struct timespec t;
 
--- a/src/process/loop.h
+++ b/src/process/loop.h
@@ -16,8 +16,8 @@
 /** cfs_now() - monotonic time that also counts while the machine sleeps */
 int64_t cfs_now (void);
 
-/** cfs_wall_ms() - milliseconds since 1970, for people only */
-uint64_t cfs_wall_ms (void);
+/** cfs_wall_clock_ms() - milliseconds since 1970, for people only */
+uint64_t cfs_wall_clock_ms (void);
 
 /**
  * cfs_loop_new() - loop without descriptors
--- a/src/process/pack.c
+++ b/src/process/message_codec.c
@@ -2,7 +2,7 @@
  * A compressed message is a message of its own kind that carries the other
  * one, so a reader tells them apart by the schema alone.  It never nests.
  */
-#include "pack.h"
+#include "message_codec.h"
 
 #include "../cfs.h"
 
@@ -44,13 +44,13 @@
 }
 
 uint8_t *
-cfs_pack (const Cfs__Peer *msg, size_t *len)
+cfs_message_encode (const Cfs__Peer *msg, size_t *len)
 {
   uint8_t *plain = pack_plain (msg, len);
   uint8_t *deflated;
   size_t size;
 
-  if (*len < PACK_MIN_BYTES || *len > PACK_MAX_BYTES)
+  if (*len < MESSAGE_COMPRESS_MIN_BYTES || *len > MESSAGE_INFLATED_MAX_BYTES)
     return plain;
   deflated = deflate_plain (plain, *len, &size);
   if (!deflated)
@@ -67,7 +67,7 @@
   uLongf size = d->size;
   uint8_t *plain;
 
-  if (size == 0 || size > PACK_MAX_BYTES)
+  if (size == 0 || size > MESSAGE_INFLATED_MAX_BYTES)
     return NULL;
   plain = malloc (size);
   if (plain && uncompress (plain, &size, d->data.data, d->data.len) == Z_OK
@@ -83,7 +83,7 @@
 }
 
 Cfs__Peer *
-cfs_unpack (const uint8_t *data, size_t len)
+cfs_message_decode (const uint8_t *data, size_t len)
 {
   Cfs__Peer *msg = cfs__peer__unpack (NULL, len, data);
   Cfs__Peer *inner;
--- a/src/process/pack.h
+++ b/src/process/message_codec.h
@@ -4,30 +4,30 @@
  * Documents repeat the same names many times, and links between regions are
  * narrow and paid for.
  */
-#ifndef CFS_PACK_H
-#define CFS_PACK_H
+#ifndef CFS_MESSAGE_CODEC_H
+#define CFS_MESSAGE_CODEC_H
 
 #include "wire.pb-c.h"
 
 /* Messages of fewer bytes are sent as they are. */
-#define PACK_MIN_BYTES 1024
+#define MESSAGE_COMPRESS_MIN_BYTES 1024
 /* A compressed message that says it is larger is refused. */
-#define PACK_MAX_BYTES (64u << 20)
+#define MESSAGE_INFLATED_MAX_BYTES (64u << 20)
 
 /**
- * cfs_pack() - the bytes of a message
+ * cfs_message_encode() - the bytes of a message
  * @len: set to their number
  *
  * Return: freed by free().
  */
-uint8_t *cfs_pack (const Cfs__Peer *msg, size_t *len);
+uint8_t *cfs_message_encode (const Cfs__Peer *msg, size_t *len);
 
 /**
- * cfs_unpack() - the message in bytes from another host
+ * cfs_message_decode() - the message in bytes from another host
  *
  * Return: freed by cfs__peer__free_unpacked(), or NULL when they cannot be
  * read.
  */
-Cfs__Peer *cfs_unpack (const uint8_t *data, size_t len);
+Cfs__Peer *cfs_message_decode (const uint8_t *data, size_t len);
 
 #endif
--- a/src/process/net.c
+++ b/src/process/net.c
@@ -6,7 +6,7 @@
  */
 #include "net.h"
 
-#include "pack.h"
+#include "message_codec.h"
 
 #include <pthread.h>
 #include <stdio.h>
@@ -44,7 +44,7 @@
   size_t cap;
 };
 
-struct cfs_net_guard
+struct cfs_zap_handler
 {
   void *zmq;
   void *stop;
@@ -176,7 +176,7 @@
 send_packed (void *socket, const Cfs__Peer *msg)
 {
   size_t len;
-  uint8_t *data = cfs_pack (msg, &len);
+  uint8_t *data = cfs_message_encode (msg, &len);
   zmq_msg_t out;
 
   zmq_msg_init_data (&out, data, len, free_data, NULL);
@@ -205,7 +205,8 @@
 static void
 deliver (struct cfs_net *n, const struct cfs_origin *from, zmq_msg_t *msg)
 {
-  Cfs__Peer *peer = cfs_unpack (zmq_msg_data (msg), zmq_msg_size (msg));
+  Cfs__Peer *peer
+      = cfs_message_decode (zmq_msg_data (msg), zmq_msg_size (msg));
 
   if (!peer)
     return;
@@ -259,7 +260,7 @@
 /* One question of the protocol "ZAP" (ZeroMQ RFC 27): frames version,
    request id, domain, address, identity, mechanism, key. */
 static void
-answer_guard (struct cfs_net_guard *g, void *zap)
+answer_guard (struct cfs_zap_handler *g, void *zap)
 {
   enum
   {
@@ -301,7 +302,7 @@
 static void *
 guard_main (void *arg)
 {
-  struct cfs_net_guard *g = arg;
+  struct cfs_zap_handler *g = arg;
   void *zap = zmq_socket (g->zmq, ZMQ_REP);
   void *stop = zmq_socket (g->zmq, ZMQ_PAIR);
   zmq_pollitem_t items[2]
@@ -318,10 +319,10 @@
   return NULL;
 }
 
-struct cfs_net_guard *
-cfs_net_guard_new (void *zmq, const char *public_key)
+struct cfs_zap_handler *
+cfs_zap_handler_new (void *zmq, const char *public_key)
 {
-  struct cfs_net_guard *g = cfs_alloc (sizeof *g);
+  struct cfs_zap_handler *g = cfs_alloc (sizeof *g);
 
   g->zmq = zmq;
   cfs_copy (g->key, sizeof g->key, public_key);
@@ -338,7 +339,7 @@
 }
 
 void
-cfs_net_guard_free (struct cfs_net_guard *g)
+cfs_zap_handler_free (struct cfs_zap_handler *g)
 {
   if (!g)
     return;
--- a/src/process/net.h
+++ b/src/process/net.h
@@ -78,15 +78,16 @@
 void cfs_net_pump (struct cfs_net *net);
 
 /**
- * cfs_net_guard_new() - answers ZeroMQ's question which peers to let in
+ * cfs_zap_handler_new() - answers ZeroMQ's question which peers to let in
  * @zmq: context
  * @public_key: the only key allowed
  *
- * Return: opaque handler, ended by cfs_net_guard_free(), or NULL.
+ * Return: opaque handler, ended by cfs_zap_handler_free(), or NULL.
  */
-struct cfs_net_guard *cfs_net_guard_new (void *zmq, const char *public_key);
+struct cfs_zap_handler *cfs_zap_handler_new (void *zmq,
+                                             const char *public_key);
 
-/** cfs_net_guard_free() - stops the handler's thread */
-void cfs_net_guard_free (struct cfs_net_guard *guard);
+/** cfs_zap_handler_free() - stops the handler's thread */
+void cfs_zap_handler_free (struct cfs_zap_handler *guard);
 
 #endif
--- a/src/process/node.c
+++ b/src/process/node.c
@@ -11,7 +11,7 @@
 #include "log.h"
 #include "loop.h"
 #include "net.h"
-#include "pair.h"
+#include "thread_channel.h"
 #include "traffic.h"
 
 #include <apr_general.h>
@@ -28,8 +28,8 @@
 {
   const struct cfs_settings *settings;
   void *zmq;
-  struct cfs_pair *pair;
-  struct cfs_net_guard *guard;
+  struct cfs_thread_channel *pair;
+  struct cfs_zap_handler *guard;
   struct cfs_loop *loop;
   struct cfs_control *control;
   struct cfs_control_client *agent;
@@ -54,7 +54,7 @@
 
   out.body_case = CFS__PEER__BODY_REPLY;
   out.reply = reply;
-  cfs_pair_send (((struct node *)ctx)->pair, &out);
+  cfs_thread_channel_send (((struct node *)ctx)->pair, &out);
 }
 
 static void
@@ -64,7 +64,7 @@
 
   out.body_case = CFS__PEER__BODY_CALLED;
   out.called = reply;
-  cfs_pair_send (((struct node *)ctx)->pair, &out);
+  cfs_thread_channel_send (((struct node *)ctx)->pair, &out);
 }
 
 static void
@@ -74,7 +74,7 @@
 
   out.body_case = CFS__PEER__BODY_TOKENS_GRANT;
   out.tokens_grant = grant;
-  cfs_pair_send (((struct node *)ctx)->pair, &out);
+  cfs_thread_channel_send (((struct node *)ctx)->pair, &out);
 }
 
 static const struct cfs_control_client_ops agent_ops
@@ -85,7 +85,7 @@
 {
   Cfs__Peer *peer;
 
-  while ((peer = cfs_pair_receive (n->pair)))
+  while ((peer = cfs_thread_channel_receive (n->pair)))
     if (peer->body_case == CFS__PEER__BODY_HEARTBEAT)
       cfs_control_client_report (n->agent, peer);
     else if (peer->body_case == CFS__PEER__BODY_CALL)
@@ -139,8 +139,8 @@
 {
   cfs_control_client_free (n->agent);
   cfs_control_free (n->control);
-  cfs_pair_free (n->pair);
-  cfs_net_guard_free (n->guard);
+  cfs_thread_channel_free (n->pair);
+  cfs_zap_handler_free (n->guard);
   zmq_ctx_term (n->zmq);
   apr_pool_destroy (n->pool);
 }
@@ -209,9 +209,9 @@
   randombytes_buf (&n.boot, sizeof n.boot);
   n.zmq = zmq_ctx_new ();
   if (*settings->curve_public)
-    n.guard = cfs_net_guard_new (n.zmq, settings->curve_public);
+    n.guard = cfs_zap_handler_new (n.zmq, settings->curve_public);
   n.loop = cfs_loop_new (n.pool);
-  n.pair = cfs_pair_new (n.zmq, TRAFFIC_ENDPOINT, true, n.loop);
+  n.pair = cfs_thread_channel_new (n.zmq, TRAFFIC_ENDPOINT, true, n.loop);
   ok = open_control (&n, error);
   if (ok)
     {
--- a/src/process/settings.c
+++ b/src/process/settings.c
@@ -211,7 +211,7 @@
 load_session_parts (struct cfs_settings *s, const cJSON *doc, const char *file,
                     GError **error)
 {
-  s->by_seeds = true;
+  s->uses_seeds = true;
   s->first_start
       = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (doc, "first_start"));
   cfs_copy (s->session_address, sizeof s->session_address,
@@ -332,7 +332,7 @@
 }
 
 uint32_t
-cfs_settings_split (const char *text, char *host, size_t size)
+cfs_split_address (const char *text, char *host, size_t size)
 {
   const char *colon = strrchr (text, ':');
   long port = colon ? strtol (colon + 1, NULL, 10) : 0;
@@ -354,7 +354,7 @@
 bool
 cfs_settings_is_control (const struct cfs_settings *s)
 {
-  if (s->by_seeds)
+  if (s->uses_seeds)
     return *s->control_address != '\0';
   for (size_t i = 0; i < s->control_count; i++)
     if (strcmp (s->control[i].host, s->host) == 0)
--- a/src/process/settings.h
+++ b/src/process/settings.h
@@ -34,7 +34,7 @@
  * @peer_port: where other control hosts take messages, if a forwarder stands
  * between; else as @control_port
  *
- * The fields from @by_seeds on are set where sessions are served: addresses
+ * The fields from @uses_seeds on are set where sessions are served: addresses
  * are "IP:PORT", and control hosts are named by their IP numbers.
  */
 struct cfs_settings
@@ -60,7 +60,7 @@
   uint32_t stop_seconds;
   struct cfs_peer control[SETTINGS_CONTROL_MAX];
   size_t control_count;
-  bool by_seeds;
+  bool uses_seeds;
   bool first_start;
   char region[CFS_NAME_MAX];
   struct cfs_zone zones[SETTINGS_ZONES_MAX];
@@ -104,11 +104,11 @@
 bool cfs_settings_serves_sessions (const struct cfs_settings *settings);
 
 /**
- * cfs_settings_split() - cuts "IP:PORT"
+ * cfs_split_address() - cuts "IP:PORT"
  * @host: written
  *
  * Return: the port, 0 when the text is malformed.
  */
-uint32_t cfs_settings_split (const char *text, char *host, size_t size);
+uint32_t cfs_split_address (const char *text, char *host, size_t size);
 
 #endif
--- a/src/process/pair.c
+++ b/src/process/thread_channel.c
@@ -2,23 +2,23 @@
  * Messages are packed although both ends share memory: so neither thread
  * ever holds a pointer into the other's state.
  */
-#include "pair.h"
+#include "thread_channel.h"
 
 #include <stdlib.h>
 #include <zmq.h>
 
-struct cfs_pair
+struct cfs_thread_channel
 {
   void *socket;
   struct cfs_loop *loop;
   int watch;
 };
 
-struct cfs_pair *
-cfs_pair_new (void *zmq, const char *endpoint, bool bind,
-              struct cfs_loop *loop)
+struct cfs_thread_channel *
+cfs_thread_channel_new (void *zmq, const char *endpoint, bool bind,
+                        struct cfs_loop *loop)
 {
-  struct cfs_pair *p = cfs_alloc (sizeof *p);
+  struct cfs_thread_channel *p = cfs_alloc (sizeof *p);
   int linger = 0;
   int rc;
 
@@ -31,12 +31,12 @@
     p->watch = cfs_loop_add_zmq (loop, p->socket);
   if (rc == 0 && p->watch > 0)
     return p;
-  cfs_pair_free (p);
+  cfs_thread_channel_free (p);
   return NULL;
 }
 
 void
-cfs_pair_free (struct cfs_pair *p)
+cfs_thread_channel_free (struct cfs_thread_channel *p)
 {
   if (!p)
     return;
@@ -47,7 +47,7 @@
 }
 
 void
-cfs_pair_send (struct cfs_pair *p, const Cfs__Peer *msg)
+cfs_thread_channel_send (struct cfs_thread_channel *p, const Cfs__Peer *msg)
 {
   size_t len = cfs__peer__get_packed_size (msg);
   uint8_t *data = cfs_alloc (len);
@@ -58,7 +58,7 @@
 }
 
 Cfs__Peer *
-cfs_pair_receive (struct cfs_pair *p)
+cfs_thread_channel_receive (struct cfs_thread_channel *p)
 {
   Cfs__Peer *peer = NULL;
   zmq_msg_t msg;
--- a/src/process/traffic.c
+++ b/src/process/traffic.c
@@ -11,7 +11,7 @@
 #include "log.h"
 #include "loop.h"
 #include "net.h"
-#include "pair.h"
+#include "thread_channel.h"
 
 #include <inttypes.h>
 #include <stdlib.h>
@@ -32,7 +32,7 @@
   struct cfs_http *http;
   struct cfs_entry *entry;
   struct cfs_gates *gates;
-  struct cfs_pair *pair;
+  struct cfs_thread_channel *pair;
   char *certificate;
   char *key;
   uint8_t *last_report;
@@ -44,7 +44,7 @@
 static void
 to_control (void *ctx, const Cfs__Peer *msg)
 {
-  cfs_pair_send (((struct cfs_traffic *)ctx)->pair, msg);
+  cfs_thread_channel_send (((struct cfs_traffic *)ctx)->pair, msg);
 }
 
 static void
@@ -113,7 +113,7 @@
 {
   Cfs__Peer *msg;
 
-  while ((msg = cfs_pair_receive (t->pair)))
+  while ((msg = cfs_thread_channel_receive (t->pair)))
     {
       if (msg->body_case == CFS__PEER__BODY_REPLY)
         take_renewal (t, msg->reply);
@@ -126,7 +126,7 @@
 static bool
 open_pair (struct cfs_traffic *t, void *zmq)
 {
-  t->pair = cfs_pair_new (zmq, TRAFFIC_ENDPOINT, false, t->loop);
+  t->pair = cfs_thread_channel_new (zmq, TRAFFIC_ENDPOINT, false, t->loop);
   return t->pair != NULL;
 }
 
@@ -214,7 +214,7 @@
     cfs_http_pump (t->http);
   cfs_http_free (t->http);
   cfs_net_free (t->net);
-  cfs_pair_free (t->pair);
+  cfs_thread_channel_free (t->pair);
   cfs_directory_end (&t->directory);
   g_free (t->certificate);
   g_free (t->key);
@@ -247,7 +247,7 @@
   free (t->last_report);
   t->last_report = data;
   t->last_len = len;
-  cfs_pair_send (t->pair, &out);
+  cfs_thread_channel_send (t->pair, &out);
 }
 
 static void
--- a/tests/unit/decoders.c
+++ b/tests/unit/decoders.c
@@ -3,7 +3,7 @@
  * seeded mutator that must never crash a decoder (run under sanitizers too).
  */
 #include "../../src/connection/token.h"
-#include "../../src/process/pack.h"
+#include "../../src/process/message_codec.h"
 #include "../../src/process/settings.h"
 #include "../../src/process/state.h"
 #include "../../src/request/sql.h"
@@ -322,20 +322,20 @@
   reply.document = make_large_document ();
   out.body_case = CFS__PEER__BODY_REPLY;
   out.reply = &reply;
-  data = cfs_pack (&out, &len);
+  data = cfs_message_encode (&out, &len);
   assert_true (len * 4 < strlen (reply.document));
-  in = cfs_unpack (data, len);
+  in = cfs_message_decode (data, len);
   assert_int_equal (in->body_case, CFS__PEER__BODY_REPLY);
   assert_string_equal (in->reply->document, reply.document);
   cfs__peer__free_unpacked (in, NULL);
   for (size_t cut = 1; cut < len; cut += 97)
-    assert_null (cfs_unpack (data, len - cut));
+    assert_null (cfs_message_decode (data, len - cut));
   for (int i = 0; i < ROUNDS / 10; i++)
     {
       size_t n = mutate (&seed, (char *)data, len < BUFFER ? len : BUFFER / 2,
                          buffer);
 
-      in = cfs_unpack ((uint8_t *)buffer, n);
+      in = cfs_message_decode ((uint8_t *)buffer, n);
       if (in)
         cfs__peer__free_unpacked (in, NULL);
     }
--- a/tests/unit/platform.c
+++ b/tests/unit/platform.c
@@ -3,9 +3,9 @@
  * output, mutated input that must do no harm, lines that come in pieces.
  */
 #include "../../platform/document.h"
-#include "../../platform/line.h"
+#include "../../platform/line_conn.h"
 #include "../../platform/report.h"
-#include "../../platform/wording.h"
+#include "../../platform/line_protocol.h"
 
 #include <setjmp.h>
 #include <stdarg.h>
@@ -51,7 +51,7 @@
 static void
 a_document_becomes_a_catalog (void **state)
 {
-  struct cfs_catalog *c = document_read_new (document, NULL);
+  struct cfs_catalog *c = document_decode (document, NULL);
   const struct cfs_route *r;
 
   (void)state;
@@ -77,7 +77,7 @@
   char *text = replaced (document, from, to);
   GError *error = NULL;
 
-  assert_null (document_read_new (text, &error));
+  assert_null (document_decode (text, &error));
   assert_string_equal (error->message, why);
   g_error_free (error);
   g_free (text);
@@ -108,7 +108,7 @@
 unknown_fields_are_passed_over (void **state)
 {
   char *text = replaced (document, "\"priority\":2", "\"colour\":[1,{}]");
-  struct cfs_catalog *c = document_read_new (text, NULL);
+  struct cfs_catalog *c = document_decode (text, NULL);
 
   (void)state;
   assert_non_null (c);
@@ -132,7 +132,7 @@
   struct cfs_target t;
 
   (void)state;
-  assert_true (report_read (report, "i-1", &t));
+  assert_true (report_decode (report, "i-1", &t));
   assert_string_equal (t.id, "i-1");
   assert_string_equal (t.address, "10.0.0.9:8080");
   assert_false (t.primary || t.draining);
@@ -141,10 +141,10 @@
     {
       char *text = replaced (report, bad[i][0], bad[i][1]);
 
-      assert_false (report_read (text, "i-1", &t));
+      assert_false (report_decode (text, "i-1", &t));
       g_free (text);
     }
-  assert_false (report_read (report, "", &t));
+  assert_false (report_decode (report, "", &t));
 }
 
 /* Each line: what a caller sends, and what an instance gets. */
@@ -171,9 +171,9 @@
       char *want = g_strdup_printf ("QUERY 77 %s\r\n", same[i]);
       GString *out = g_string_new (NULL);
 
-      assert_true (wording_parse_statement (text, &s));
+      assert_true (line_protocol_parse_statement (text, &s));
       s.id = "77";
-      wording_put_statement (out, &s);
+      line_protocol_put_statement (out, &s);
       assert_string_equal (out->str, want);
       g_string_free (out, TRUE);
       g_free (want);
@@ -183,7 +183,7 @@
     {
       char *text = g_strdup (bad[i]);
 
-      assert_false (wording_parse_statement (text, &s));
+      assert_false (line_protocol_parse_statement (text, &s));
       g_free (text);
     }
 }
@@ -196,7 +196,7 @@
   GString *out = g_string_new (NULL);
 
   (void)state;
-  wording_put_statement (out, &s);
+  line_protocol_put_statement (out, &s);
   assert_string_equal (out->str, "QUERY - AFTER 3.1207 READ 1a4\r\n");
   g_string_free (out, TRUE);
 }
@@ -230,11 +230,11 @@
       mutate (d, sizeof document - 1, &seed);
       mutate (r, sizeof report - 1, &seed);
       mutate (s, sizeof statement - 1, &seed);
-      cfs_catalog_free (document_read_new (d, NULL));
-      report_read (r, "i-1", &t);
-      wording_parse_position (s, &p);
-      wording_parse_statement (s, &st);
-      wording_parse_ready (r, &tx, &p);
+      cfs_catalog_free (document_decode (d, NULL));
+      report_decode (r, "i-1", &t);
+      line_protocol_parse_position (s, &p);
+      line_protocol_parse_statement (s, &st);
+      line_protocol_parse_ready (r, &tx, &p);
       g_free (d);
       g_free (r);
       g_free (s);
@@ -264,13 +264,13 @@
   ((struct heard *)owner)->ended++;
 }
 
-static const struct line_events events = { NULL, on_line, on_ended };
+static const struct line_conn_events events = { NULL, on_line, on_ended };
 
 /* Sends @text in pieces of @piece bytes and gives what was heard. */
 static char *
 hear (const char *text, size_t len, size_t piece, unsigned *ended)
 {
-  static const struct line_options options = { 1000, 1 };
+  static const struct line_conn_options options = { 1000, 1 };
   struct heard h = { g_string_new (NULL), 0 };
   apr_pool_t *pool;
   struct cfs_loop *loop;
@@ -280,7 +280,7 @@
   apr_pool_create (&pool, NULL);
   loop = cfs_loop_new (pool);
   assert_int_equal (socketpair (AF_UNIX, SOCK_STREAM, 0, ends), 0);
-  l = line_accept (loop, ends[0], &options, &events, &h);
+  l = line_conn_accept (loop, ends[0], &options, &events, &h);
   for (size_t at = 0; at < len && !h.ended; at += piece)
     {
       size_t part = len - at < piece ? len - at : piece;
@@ -291,7 +291,7 @@
   for (int i = 0; i < 4 && !h.ended; i++)
     cfs_loop_poll (loop, 1000);
   *ended = h.ended;
-  line_free (l);
+  line_conn_free (l);
   close (ends[1]);
   apr_pool_destroy (pool);
   return g_string_free (h.lines, FALSE);
