--- a/src/command/client.c
+++ b/src/command/client.c
@@ -20,11 +20,11 @@
 take_header (char *data, size_t size, size_t count, void *ctx)
 {
   static const char etag[] = "ETag: \"";
-  struct cfs_reply *reply = ctx;
+  struct cfs_client_response *response = ctx;
   size_t len = size * count;
 
   if (len > sizeof etag && strncasecmp (data, etag, sizeof etag - 1) == 0)
-    reply->version = g_ascii_strtoull (data + sizeof etag - 1, NULL, 10);
+    response->version = g_ascii_strtoull (data + sizeof etag - 1, NULL, 10);
   return len;
 }
 
@@ -47,7 +47,8 @@
 bool
 cfs_client_send (const struct cfs_client *c, const char *method,
                  const char *path, const char *const *headers,
-                 const char *body, struct cfs_reply *reply, GError **error)
+                 const char *body, struct cfs_client_response *response,
+                 GError **error)
 {
   CURL *curl = curl_easy_init ();
   char *url = g_strconcat (c->url, path, NULL);
@@ -55,7 +56,7 @@
   GString *text = g_string_new (NULL);
   CURLcode rc;
 
-  memset (reply, 0, sizeof *reply);
+  memset (response, 0, sizeof *response);
   curl_easy_setopt (curl, CURLOPT_URL, url);
   curl_easy_setopt (curl, CURLOPT_CUSTOMREQUEST, method);
   curl_easy_setopt (curl, CURLOPT_HTTPHEADER, list);
@@ -64,17 +65,17 @@
   curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, take_body);
   curl_easy_setopt (curl, CURLOPT_WRITEDATA, text);
   curl_easy_setopt (curl, CURLOPT_HEADERFUNCTION, take_header);
-  curl_easy_setopt (curl, CURLOPT_HEADERDATA, reply);
+  curl_easy_setopt (curl, CURLOPT_HEADERDATA, response);
   if (body)
     curl_easy_setopt (curl, CURLOPT_POSTFIELDS, body);
   rc = curl_easy_perform (curl);
-  curl_easy_getinfo (curl, CURLINFO_RESPONSE_CODE, &reply->status);
-  reply->body = g_string_free (text, FALSE);
+  curl_easy_getinfo (curl, CURLINFO_RESPONSE_CODE, &response->status);
+  response->body = g_string_free (text, FALSE);
   if (rc != CURLE_OK)
     {
       g_set_error (error, g_quark_from_static_string ("cfs-client"), 0,
                    "%s: %s", url, curl_easy_strerror (rc));
-      cfs_reply_end (reply);
+      cfs_client_response_clear (response);
     }
   curl_slist_free_all (list);
   curl_easy_cleanup (curl);
@@ -83,8 +84,8 @@
 }
 
 void
-cfs_reply_end (struct cfs_reply *reply)
+cfs_client_response_clear (struct cfs_client_response *response)
 {
-  g_free (reply->body);
-  reply->body = NULL;
+  g_free (response->body);
+  response->body = NULL;
 }
--- a/src/command/client.h
+++ b/src/command/client.h
@@ -17,7 +17,7 @@
 };
 
 /** struct cfs_reply - answer, owned by the caller */
-struct cfs_reply
+struct cfs_client_response
 {
   long status;
   char *body;
@@ -36,10 +36,10 @@
  */
 bool cfs_client_send (const struct cfs_client *client, const char *method,
                       const char *path, const char *const *headers,
-                      const char *body, struct cfs_reply *reply,
+                      const char *body, struct cfs_client_response *response,
                       GError **error);
 
 /** cfs_reply_end() - frees the body */
-void cfs_reply_end (struct cfs_reply *reply);
+void cfs_client_response_clear (struct cfs_client_response *response);
 
 #endif
--- a/src/command/host.c
+++ b/src/command/host.c
@@ -51,7 +51,7 @@
 
 /* Settings that the arguments name, or NULL after one line on stderr. */
 static struct cfs_settings *
-load (int argc, char **argv, const char *doc)
+load_settings (int argc, char **argv, const char *doc)
 {
   struct argp argp = { options, parse, NULL, doc, NULL, NULL, NULL };
   struct host_args args = { NULL };
@@ -69,7 +69,7 @@
 }
 
 static int
-report (bool ok, GError *error)
+exit_status (bool ok, GError *error)
 {
   if (ok)
     return EXIT_OK;
@@ -83,7 +83,7 @@
 command_serve (int argc, char **argv)
 {
   struct cfs_settings *s
-      = load (argc, argv, "Runs a host until SIGTERM or SIGINT.");
+      = load_settings (argc, argv, "Runs a host until SIGTERM or SIGINT.");
   GError *error = NULL;
   bool ok;
 
@@ -95,13 +95,14 @@
   else
     ok = cfs_node_serve (s, &error);
   cfs_settings_free (s);
-  return report (ok, error);
+  return exit_status (ok, error);
 }
 
 int
 command_check (int argc, char **argv)
 {
-  struct cfs_settings *s = load (argc, argv, "Checks a settings file.");
+  struct cfs_settings *s
+      = load_settings (argc, argv, "Checks a settings file.");
 
   if (!s)
     return EXIT_USAGE;
@@ -113,10 +114,10 @@
 int
 command_init (int argc, char **argv)
 {
-  struct cfs_settings *s
-      = load (argc, argv,
-              "Prepares the data folder of a control host when the group is "
-              "first formed.  Never run it for a host that lost its disk.");
+  struct cfs_settings *s = load_settings (
+      argc, argv,
+      "Prepares the data folder of a control host when the group is "
+      "first formed.  Never run it for a host that lost its disk.");
   GError *error = NULL;
   bool ok = false;
 
@@ -127,7 +128,7 @@
   else
     fprintf (stderr, "coltsfootstage: %s is not a control host\n", s->host);
   cfs_settings_free (s);
-  return report (ok, error);
+  return exit_status (ok, error);
 }
 
 static void
--- a/src/command/load.c
+++ b/src/command/load.c
@@ -38,18 +38,18 @@
 };
 
 /* One request under way. */
-struct shot
+struct load_request
 {
   CURL *curl;
   struct curl_slist *headers;
   char body[BODY_MAX];
   char id[64];
-  GString *reply;
-  int64_t planned_at;
+  GString *response;
+  int64_t scheduled_at;
   bool write;
 };
 
-struct tally
+struct code_counter
 {
   char code[CODE_NAME_MAX];
   uint64_t count;
@@ -68,17 +68,17 @@
   double *latency_ms;
   size_t latency_count;
   size_t latency_cap;
-  struct tally codes[CODES_MAX];
+  struct code_counter codes[CODES_MAX];
   size_t code_count;
   char **booked;
   size_t booked_count;
   size_t booked_cap;
-  char **unsure;
-  size_t unsure_count;
-  size_t unsure_cap;
-  char **refused;
-  size_t refused_count;
-  size_t refused_cap;
+  char **unknown;
+  size_t unknown_count;
+  size_t unknown_cap;
+  char **not_run;
+  size_t not_run_count;
+  size_t not_run_cap;
 };
 
 static const struct argp_option options[] = {
@@ -136,7 +136,7 @@
 }
 
 static double
-uniform (struct load *l)
+random_uniform (struct load *l)
 {
   return ((double)(cfs_random (&l->seed) >> 11) + 1) / 9007199254740993.0;
 }
@@ -149,7 +149,7 @@
 }
 
 static void
-prepare_body (struct load *l, struct shot *s)
+prepare_body (struct load *l, struct load_request *s)
 {
   unsigned item = (unsigned)(cfs_random (&l->seed) % 20);
 
@@ -168,16 +168,16 @@
 }
 
 static void
-start_shot (struct load *l, int64_t planned_at)
+start_request (struct load *l, int64_t scheduled_at)
 {
-  struct shot *s = cfs_alloc (sizeof *s);
+  struct load_request *s = cfs_alloc (sizeof *s);
   char text[256];
 
   l->sent++;
-  s->planned_at = planned_at;
-  s->write = uniform (l) < l->args.write_share;
+  s->scheduled_at = scheduled_at;
+  s->write = random_uniform (l) < l->args.write_share;
   prepare_body (l, s);
-  s->reply = g_string_new (NULL);
+  s->response = g_string_new (NULL);
   s->curl = curl_easy_init ();
   snprintf (text, sizeof text, "%s/v1/groups/%s/statements",
             l->args.urls[l->sent % (uint64_t)l->args.url_count],
@@ -193,7 +193,7 @@
   curl_easy_setopt (s->curl, CURLOPT_HTTPHEADER, s->headers);
   curl_easy_setopt (s->curl, CURLOPT_POSTFIELDS, s->body);
   curl_easy_setopt (s->curl, CURLOPT_WRITEFUNCTION, take_body);
-  curl_easy_setopt (s->curl, CURLOPT_WRITEDATA, s->reply);
+  curl_easy_setopt (s->curl, CURLOPT_WRITEDATA, s->response);
   curl_easy_setopt (s->curl, CURLOPT_PRIVATE, s);
   curl_easy_setopt (s->curl, CURLOPT_TIMEOUT_MS, 30000L);
   curl_easy_setopt (s->curl, CURLOPT_NOSIGNAL, 1L);
@@ -216,25 +216,26 @@
 }
 
 static void
-keep (char ***list, size_t *cap, size_t *count, const char *id)
+append_id (char ***list, size_t *cap, size_t *count, const char *id)
 {
   cfs_grow (list, cap, *count, sizeof **list);
   (*list)[(*count)++] = cfs_strdup (id);
 }
 
 static void
-note_write (struct load *l, const struct shot *s, const char *outcome)
+record_write (struct load *l, const struct load_request *s,
+              const char *outcome)
 {
   if (strcmp (outcome, "done") == 0)
-    keep (&l->booked, &l->booked_cap, &l->booked_count, s->id);
+    append_id (&l->booked, &l->booked_cap, &l->booked_count, s->id);
   else if (strcmp (outcome, "not_run") == 0)
-    keep (&l->refused, &l->refused_cap, &l->refused_count, s->id);
+    append_id (&l->not_run, &l->not_run_cap, &l->not_run_count, s->id);
   else
-    keep (&l->unsure, &l->unsure_cap, &l->unsure_count, s->id);
+    append_id (&l->unknown, &l->unknown_cap, &l->unknown_count, s->id);
 }
 
 static const char *
-text_of (const cJSON *doc, const char *name, const char *fallback)
+json_text (const cJSON *doc, const char *name, const char *fallback)
 {
   const cJSON *item = cJSON_GetObjectItemCaseSensitive (doc, name);
 
@@ -242,38 +243,38 @@
 }
 
 static void
-end_shot (struct load *l, struct shot *s, CURLcode rc)
+finish_request (struct load *l, struct load_request *s, CURLcode rc)
 {
-  cJSON *doc = rc == CURLE_OK ? cJSON_Parse (s->reply->str) : NULL;
-  const char *outcome = text_of (doc, "outcome", "unknown");
+  cJSON *doc = rc == CURLE_OK ? cJSON_Parse (s->response->str) : NULL;
+  const char *outcome = json_text (doc, "outcome", "unknown");
   bool ok = strcmp (outcome, "done") == 0;
 
-  count_code (l, ok ? "ok" : text_of (doc, "code", "no_answer"));
+  count_code (l, ok ? "ok" : json_text (doc, "code", "no_answer"));
   if (ok)
     {
       cfs_grow (&l->latency_ms, &l->latency_cap, l->latency_count,
                 sizeof *l->latency_ms);
       l->latency_ms[l->latency_count++]
-          = (double)(cfs_now () - s->planned_at) / CFS_US_PER_MS;
+          = (double)(cfs_now () - s->scheduled_at) / CFS_US_PER_MS;
       l->done++;
-      if (!s->write && strcmp (text_of (doc, "from", ""), "replica") == 0)
+      if (!s->write && strcmp (json_text (doc, "from", ""), "replica") == 0)
         l->replica++;
       else if (!s->write)
         l->primary++;
     }
   if (s->write)
-    note_write (l, s, outcome);
+    record_write (l, s, outcome);
   cJSON_Delete (doc);
   curl_multi_remove_handle (l->multi, s->curl);
   curl_easy_cleanup (s->curl);
   curl_slist_free_all (s->headers);
-  g_string_free (s->reply, TRUE);
+  g_string_free (s->response, TRUE);
   free (s);
   l->open--;
 }
 
 static void
-collect (struct load *l)
+process_completions (struct load *l)
 {
   CURLMsg *msg;
   int left;
@@ -283,10 +284,10 @@
   while ((msg = curl_multi_info_read (l->multi, &left)))
     if (msg->msg == CURLMSG_DONE)
       {
-        struct shot *s = NULL;
+        struct load_request *s = NULL;
 
         curl_easy_getinfo (msg->easy_handle, CURLINFO_PRIVATE, &s);
-        end_shot (l, s, msg->data.result);
+        finish_request (l, s, msg->data.result);
       }
 }
 
@@ -300,10 +301,11 @@
     {
       while (next < end && cfs_now () >= next)
         {
-          start_shot (l, next);
-          next += (int64_t)(-log (uniform (l)) / l->args.rate * CFS_US_PER_S);
+          start_request (l, next);
+          next += (int64_t)(-log (random_uniform (l)) / l->args.rate
+                            * CFS_US_PER_S);
         }
-      collect (l);
+      process_completions (l);
       curl_multi_poll (l->multi, NULL, 0, POLL_MS, NULL);
     }
 }
@@ -318,19 +320,19 @@
 }
 
 static double
-percentile (const struct load *l, double share)
+percentile (const struct load *l, double fraction)
 {
   if (l->latency_count == 0)
     return 0;
-  return l->latency_ms[(size_t)((double)(l->latency_count - 1) * share)];
+  return l->latency_ms[(size_t)((double)(l->latency_count - 1) * fraction)];
 }
 
 /* Times an order stands in the primary, or -1 when that cannot be told. */
 static int
-count_booked (const struct load *l, const char *id)
+count_stored (const struct load *l, const char *id)
 {
   struct cfs_client c = { l->args.urls[0], l->args.key, 15000 };
-  struct cfs_reply reply;
+  struct cfs_client_response response;
   char path[128];
   char body[BODY_MAX];
   cJSON *doc;
@@ -341,30 +343,30 @@
             "{\"sql\":\"SELECT id, team, item, qty FROM orders WHERE id = "
             "$1\",\"params\":[\"%s\"],\"mode\":\"read\",\"max_age_ms\":0}",
             id);
-  for (int tries = 0; tries < 20 && n < 0; tries++)
+  for (int attempt = 0; attempt < 20 && n < 0; attempt++)
     {
-      if (!cfs_client_send (&c, "POST", path, NULL, body, &reply, NULL))
+      if (!cfs_client_send (&c, "POST", path, NULL, body, &response, NULL))
         continue;
-      doc = cJSON_Parse (reply.body);
-      if (strcmp (text_of (doc, "outcome", ""), "done") == 0)
+      doc = cJSON_Parse (response.body);
+      if (strcmp (json_text (doc, "outcome", ""), "done") == 0)
         n = cJSON_GetArraySize (cJSON_GetObjectItem (doc, "rows"));
       cJSON_Delete (doc);
-      cfs_reply_end (&reply);
+      cfs_client_response_clear (&response);
     }
   return n;
 }
 
 static size_t
-count_wrong (const struct load *l, char **ids, size_t count, int least,
-             int most)
+count_wrong (const struct load *l, char **ids, size_t count, int min_count,
+             int max_count)
 {
   size_t wrong = 0;
 
   for (size_t i = 0; i < count; i++)
     {
-      int n = count_booked (l, ids[i]);
+      int n = count_stored (l, ids[i]);
 
-      if (n >= least && n <= most)
+      if (n >= min_count && n <= max_count)
         continue;
       wrong++;
       fprintf (stderr, "load: order %s stands %d times\n", ids[i], n);
@@ -377,8 +379,8 @@
 {
   uint64_t reads = l->replica + l->primary;
   size_t wrong = count_wrong (l, l->booked, l->booked_count, 1, 1)
-                 + count_wrong (l, l->refused, l->refused_count, 0, 0)
-                 + count_wrong (l, l->unsure, l->unsure_count, 0, 1);
+                 + count_wrong (l, l->not_run, l->not_run_count, 0, 0)
+                 + count_wrong (l, l->unknown, l->unknown_count, 0, 1);
 
   qsort (l->latency_ms, l->latency_count, sizeof *l->latency_ms,
          compare_doubles);
@@ -391,7 +393,7 @@
   for (size_t i = 0; i < l->code_count; i++)
     printf ("answers %s: %" PRIu64 "\n", l->codes[i].code, l->codes[i].count);
   printf ("booked once: %zu booked, %zu refused, %zu unsure, %zu wrong\n",
-          l->booked_count, l->refused_count, l->unsure_count, wrong);
+          l->booked_count, l->not_run_count, l->unknown_count, wrong);
   return wrong;
 }
 
@@ -427,8 +429,8 @@
   wrong = report (&l);
   curl_multi_cleanup (l.multi);
   free_list (l.booked, l.booked_count);
-  free_list (l.unsure, l.unsure_count);
-  free_list (l.refused, l.refused_count);
+  free_list (l.unknown, l.unknown_count);
+  free_list (l.not_run, l.not_run_count);
   free (l.latency_ms);
   return wrong ? EXIT_FAILED : EXIT_OK;
 }
--- a/src/command/operator.c
+++ b/src/command/operator.c
@@ -20,16 +20,16 @@
 #define SECRET_BYTES 24
 #define HTTP_OK 200
 #define HTTP_STALE 412
-#define WORDS_MAX 4
+#define OPERANDS_MAX 4
 
 /* Arguments of all operator commands; each uses some. */
 struct args
 {
   struct cfs_client client;
-  const char *words[WORDS_MAX];
-  int count;
-  int least;
-  int most;
+  const char *operands[OPERANDS_MAX];
+  int operand_count;
+  int min_operands;
+  int max_operands;
   const char *version;
   const char *request_id;
   const char *operator_name;
@@ -131,12 +131,12 @@
       a->open = true;
       break;
     case ARGP_KEY_ARG:
-      if (a->count >= a->most)
+      if (a->operand_count >= a->max_operands)
         argp_usage (state);
-      a->words[a->count++] = arg;
+      a->operands[a->operand_count++] = arg;
       break;
     case ARGP_KEY_END:
-      if (a->count < a->least)
+      if (a->operand_count < a->min_operands)
         argp_usage (state);
       if (!a->client.url)
         argp_error (state, "--url or COLTSFOOTSTAGE_URL is required");
@@ -151,10 +151,10 @@
 
 static void
 read_args (struct args *a, int argc, char **argv,
-           const struct argp_option *options, const char *words,
-           const char *doc, int least, int most)
+           const struct argp_option *options, const char *operands,
+           const char *doc, int min_operands, int max_operands)
 {
-  struct argp argp = { options, parse, words, doc, NULL, NULL, NULL };
+  struct argp argp = { options, parse, operands, doc, NULL, NULL, NULL };
 
   memset (a, 0, sizeof *a);
   a->client.url = getenv ("COLTSFOOTSTAGE_URL");
@@ -163,8 +163,8 @@
   a->operator_name = getenv ("USER");
   a->weight = 1;
   a->max_age_ms = -1;
-  a->least = least;
-  a->most = most;
+  a->min_operands = min_operands;
+  a->max_operands = max_operands;
   argp_parse (&argp, argc, argv, 0, NULL, a);
 }
 
@@ -177,83 +177,86 @@
 }
 
 static int
-print_reply (struct cfs_reply *r)
+print_response (struct cfs_client_response *r)
 {
   int rc = r->status == HTTP_OK      ? EXIT_OK
            : r->status == HTTP_STALE ? EXIT_STALE
                                      : EXIT_FAILED;
 
   fprintf (rc == EXIT_OK ? stdout : stderr, "%s\n", r->body);
-  cfs_reply_end (r);
+  cfs_client_response_clear (r);
   return rc;
 }
 
 /* Prints the answer to a plain call. */
 static int
-call (const struct args *a, const char *method, const char *path)
+send_request (const struct args *a, const char *method, const char *path)
 {
-  struct cfs_reply reply;
+  struct cfs_client_response response;
   GError *error = NULL;
 
-  if (!cfs_client_send (&a->client, method, path, NULL, NULL, &reply, &error))
+  if (!cfs_client_send (&a->client, method, path, NULL, NULL, &response,
+                        &error))
     return fail (error);
-  return print_reply (&reply);
+  return print_response (&response);
 }
 
 static int
 send_patch (const struct args *a, uint64_t version, const char *patch)
 {
-  char match[48];
-  char who[128];
-  char id[128];
-  const char *headers[4] = { match, who, NULL, NULL };
-  struct cfs_reply reply;
+  char match_header[48];
+  char operator_header[128];
+  char id_header[128];
+  const char *headers[4] = { match_header, operator_header, NULL, NULL };
+  struct cfs_client_response response;
   GError *error = NULL;
 
-  g_snprintf (match, sizeof match, "If-Match: \"%" PRIu64 "\"", version);
-  g_snprintf (who, sizeof who, "Operator: %s",
+  g_snprintf (match_header, sizeof match_header, "If-Match: \"%" PRIu64 "\"",
+              version);
+  g_snprintf (operator_header, sizeof operator_header, "Operator: %s",
               a->operator_name ? a->operator_name : "operator");
   if (a->request_id)
     {
-      g_snprintf (id, sizeof id, "Request-Id: %s", a->request_id);
-      headers[2] = id;
+      g_snprintf (id_header, sizeof id_header, "Request-Id: %s",
+                  a->request_id);
+      headers[2] = id_header;
     }
   if (!cfs_client_send (&a->client, "PATCH", "/v1/config", headers, patch,
-                        &reply, &error))
+                        &response, &error))
     return fail (error);
-  return print_reply (&reply);
+  return print_response (&response);
 }
 
 /* Sends a patch against the version that is current now. */
 static int
 patch_current (const struct args *a, cJSON *patch)
 {
-  struct cfs_reply reply;
+  struct cfs_client_response response;
   GError *error = NULL;
   char *text = cJSON_PrintUnformatted (patch);
   int rc;
 
   cJSON_Delete (patch);
-  if (!cfs_client_send (&a->client, "GET", "/v1/config", NULL, NULL, &reply,
+  if (!cfs_client_send (&a->client, "GET", "/v1/config", NULL, NULL, &response,
                         &error))
     {
       free (text);
       return fail (error);
     }
-  if (reply.status != HTTP_OK)
+  if (response.status != HTTP_OK)
     {
       free (text);
-      return print_reply (&reply);
+      return print_response (&response);
     }
-  rc = send_patch (a, reply.version, text);
-  cfs_reply_end (&reply);
+  rc = send_patch (a, response.version, text);
+  cfs_client_response_clear (&response);
   free (text);
   return rc;
 }
 
 /* Object PATCH[kind][name], and its innermost level. */
 static cJSON *
-nested (cJSON **patch, const char *kind, const char *name)
+add_named_object (cJSON **patch, const char *kind, const char *name)
 {
   cJSON *map;
 
@@ -288,16 +291,16 @@
 command_show (int argc, char **argv)
 {
   struct args a;
-  struct cfs_reply reply;
+  struct cfs_client_response response;
   GError *error = NULL;
 
   read_args (&a, argc, argv, common_options, NULL,
              "Prints the configuration; its version goes to stderr.", 0, 0);
-  if (!cfs_client_send (&a.client, "GET", "/v1/config", NULL, NULL, &reply,
+  if (!cfs_client_send (&a.client, "GET", "/v1/config", NULL, NULL, &response,
                         &error))
     return fail (error);
-  fprintf (stderr, "version %" PRIu64 "\n", reply.version);
-  return print_reply (&reply);
+  fprintf (stderr, "version %" PRIu64 "\n", response.version);
+  return print_response (&response);
 }
 
 int
@@ -314,7 +317,7 @@
       fputs ("coltsfootstage: --version is required\n", stderr);
       return EXIT_USAGE;
     }
-  text = read_file (a.words[0]);
+  text = read_file (a.operands[0]);
   if (!text)
     return EXIT_USAGE;
   rc = send_patch (&a, strtoull (a.version, NULL, 10), text);
@@ -343,13 +346,14 @@
   {
     const cJSON *old
         = cJSON_GetObjectItemCaseSensitive (document, item->string);
-    char *below = g_strconcat (path, *path ? "." : "", item->string, NULL);
+    char *child_path
+        = g_strconcat (path, *path ? "." : "", item->string, NULL);
 
     if (cJSON_IsObject (item))
-      print_diff (old, item, below);
+      print_diff (old, item, child_path);
     else
-      print_change (old, item, below);
-    g_free (below);
+      print_change (old, item, child_path);
+    g_free (child_path);
   }
 }
 
@@ -357,7 +361,7 @@
 command_diff (int argc, char **argv)
 {
   struct args a;
-  struct cfs_reply reply;
+  struct cfs_client_response response;
   GError *error = NULL;
   char *text;
   char *next;
@@ -366,29 +370,30 @@
 
   read_args (&a, argc, argv, common_options, "FILE",
              "Prints what a merge patch would change, and checks it.", 1, 1);
-  text = read_file (a.words[0]);
+  text = read_file (a.operands[0]);
   if (!text)
     return EXIT_USAGE;
-  if (!cfs_client_send (&a.client, "GET", "/v1/config", NULL, NULL, &reply,
+  if (!cfs_client_send (&a.client, "GET", "/v1/config", NULL, NULL, &response,
                         &error))
     return fail (error);
-  next = reply.status == HTTP_OK ? cfs_conf_patch (reply.body, text, &error)
-                                 : NULL;
+  next = response.status == HTTP_OK
+             ? cfs_conf_patch (response.body, text, &error)
+             : NULL;
   if (!next)
-    return error ? fail (error) : print_reply (&reply);
-  document = cJSON_Parse (reply.body);
+    return error ? fail (error) : print_response (&response);
+  document = cJSON_Parse (response.body);
   patch = cJSON_Parse (text);
   print_diff (document, patch, "");
   cJSON_Delete (document);
   cJSON_Delete (patch);
   free (next);
   g_free (text);
-  cfs_reply_end (&reply);
+  cfs_client_response_clear (&response);
   return EXIT_OK;
 }
 
 static int
-create_key (const struct args *a, const char *team, const char *id)
+create_key (const struct args *a, const char *team, const char *key_id)
 {
   unsigned char random[SECRET_BYTES];
   unsigned char hash[CFS_HASH_BYTES];
@@ -402,11 +407,13 @@
   sodium_bin2hex (secret, sizeof secret, random, sizeof random);
   cfs_secret_hash (secret, hash);
   sodium_bin2hex (hex, sizeof hex, hash, sizeof hash);
-  keys = cJSON_AddObjectToObject (nested (&patch, "teams", team), "keys");
-  cJSON_AddStringToObject (cJSON_AddObjectToObject (keys, id), "hash", hex);
+  keys = cJSON_AddObjectToObject (add_named_object (&patch, "teams", team),
+                                  "keys");
+  cJSON_AddStringToObject (cJSON_AddObjectToObject (keys, key_id), "hash",
+                           hex);
   rc = patch_current (a, patch);
   if (rc == EXIT_OK)
-    printf ("key %s.%s\n", id, secret);
+    printf ("key %s.%s\n", key_id, secret);
   return rc;
 }
 
@@ -422,13 +429,13 @@
              "Creates or withdraws an access key.  The key is printed once; "
              "only its hash is kept.",
              3, 3);
-  if (strcmp (a.words[0], "create") == 0)
-    return create_key (&a, a.words[1], a.words[2]);
-  if (strcmp (a.words[0], "withdraw") != 0)
+  if (strcmp (a.operands[0], "create") == 0)
+    return create_key (&a, a.operands[1], a.operands[2]);
+  if (strcmp (a.operands[0], "withdraw") != 0)
     return EXIT_USAGE;
-  keys
-      = cJSON_AddObjectToObject (nested (&patch, "teams", a.words[1]), "keys");
-  cJSON_AddNullToObject (keys, a.words[2]);
+  keys = cJSON_AddObjectToObject (
+      add_named_object (&patch, "teams", a.operands[1]), "keys");
+  cJSON_AddNullToObject (keys, a.operands[2]);
   return patch_current (&a, patch);
 }
 
@@ -441,11 +448,11 @@
 
   read_args (&a, argc, argv, team_options, "set NAME\nremove NAME",
              "Sets or removes a team.", 2, 2);
-  if (strcmp (a.words[0], "remove") == 0)
-    return remove_named (&a, "teams", a.words[1]);
-  if (strcmp (a.words[0], "set") != 0)
+  if (strcmp (a.operands[0], "remove") == 0)
+    return remove_named (&a, "teams", a.operands[1]);
+  if (strcmp (a.operands[0], "set") != 0)
     return EXIT_USAGE;
-  team = nested (&patch, "teams", a.words[1]);
+  team = add_named_object (&patch, "teams", a.operands[1]);
   cJSON_AddNumberToObject (team, "rate", a.rate);
   cJSON_AddNumberToObject (team, "burst", a.burst);
   cJSON_AddNumberToObject (team, "weight", a.weight);
@@ -461,11 +468,11 @@
 
   read_args (&a, argc, argv, sheet_options, "set NAME\nremove NAME",
              "Sets or removes a sheet.", 2, 2);
-  if (strcmp (a.words[0], "remove") == 0)
-    return remove_named (&a, "sheets", a.words[1]);
-  if (strcmp (a.words[0], "set") != 0)
+  if (strcmp (a.operands[0], "remove") == 0)
+    return remove_named (&a, "sheets", a.operands[1]);
+  if (strcmp (a.operands[0], "set") != 0)
     return EXIT_USAGE;
-  sheet = nested (&patch, "sheets", a.words[1]);
+  sheet = add_named_object (&patch, "sheets", a.operands[1]);
   cJSON_AddStringToObject (sheet, "group", a.group ? a.group : "");
   cJSON_AddStringToObject (sheet, "team", a.team ? a.team : "");
   cJSON_AddStringToObject (sheet, "sql", a.sql ? a.sql : "");
@@ -482,7 +489,7 @@
 
   read_args (&a, argc, argv, common_options, NULL,
              "Prints who changed what, when and from which version.", 0, 0);
-  return call (&a, "GET", "/v1/audit");
+  return send_request (&a, "GET", "/v1/audit");
 }
 
 int
@@ -492,7 +499,7 @@
 
   read_args (&a, argc, argv, common_options, NULL,
              "Prints members, hosts, leases and groups.", 0, 0);
-  return call (&a, "GET", "/v1/status");
+  return send_request (&a, "GET", "/v1/status");
 }
 
 int
@@ -502,5 +509,5 @@
 
   read_args (&a, argc, argv, common_options, NULL,
              "Stops the host at --url in order, as SIGTERM does.", 0, 0);
-  return call (&a, "POST", "/v1/drain");
+  return send_request (&a, "POST", "/v1/drain");
 }
--- a/src/process/core.c
+++ b/src/process/core.c
@@ -28,8 +28,8 @@
   struct cfs_loop *loop;
   struct cfs_control *control;
   struct control_api *control_api;
-  struct cfs_target_adapter *targets;
-  struct promotion *promotion;
+  struct cfs_target_adapter *adapter;
+  struct promotion_client *promotion;
 };
 
 static volatile bool stop_requested;
@@ -51,15 +51,16 @@
 }
 
 static void
-order (void *ctx, const char *service, const char *target, uint64_t fence)
+send_promotion_request (void *ctx, const char *service, const char *target,
+                        uint64_t fence)
 {
   promotion_client_send (((struct core *)ctx)->promotion, service, target,
                          fence);
 }
 
 static void
-ordered (void *ctx, const char *service, uint64_t fence,
-         enum cfs_promotion_result result)
+on_promotion_result (void *ctx, const char *service, uint64_t fence,
+                     enum cfs_promotion_result result)
 {
   cfs_control_promotion_result (((struct core *)ctx)->control, service, fence,
                                 result);
@@ -68,13 +69,14 @@
 static void
 serve_fleet (struct core *c, const struct cfs_settings *settings)
 {
-  struct cfs_control_fleet_setup setup
-      = { .documents = &document_decoder, .promote = order, .ctx = c };
+  struct cfs_control_fleet_setup setup = { .documents = &document_decoder,
+                                           .promote = send_promotion_request,
+                                           .ctx = c };
 
-  c->targets = instances_adapter_new (c->loop);
+  c->adapter = instances_adapter_new (c->loop);
   c->promotion = promotion_client_new (settings->promotion_address,
-                                       settings->host, ordered, c);
-  setup.targets = c->targets;
+                                       settings->host, on_promotion_result, c);
+  setup.targets = c->adapter;
   cfs_control_serve_fleet (c->control, &setup);
 }
 
@@ -95,19 +97,19 @@
 }
 
 static void
-end (struct core *c)
+cleanup (struct core *c)
 {
   control_api_free (c->control_api);
   cfs_control_free (c->control);
   promotion_client_free (c->promotion);
-  instances_adapter_free (c->targets);
+  instances_adapter_free (c->adapter);
   zmq_ctx_term (c->zmq);
   apr_pool_destroy (c->pool);
   apr_terminate ();
 }
 
 static void
-turn (struct core *c)
+run_once (struct core *c)
 {
   cfs_control_pump (c->control);
   control_api_pump (c->control_api);
@@ -123,7 +125,7 @@
   int64_t until = cfs_now () + LEAVE_MAX_US;
 
   while (cfs_now () < until && cfs_control_leave (c->control))
-    turn (c);
+    run_once (c);
 }
 
 bool
@@ -139,10 +141,10 @@
       cfs_log (CFS_NOTICE, PART, "starts, control on %s",
                settings->control_address);
       while (!stop_requested)
-        turn (&c);
+        run_once (&c);
       leave_group (&c);
       cfs_log (CFS_NOTICE, PART, "stops");
     }
-  end (&c);
+  cleanup (&c);
   return ok;
 }
--- a/src/process/front.c
+++ b/src/process/front.c
@@ -26,35 +26,35 @@
 #define PART "front"
 #define TICK_US (4 * CFS_US_PER_MS)
 /* Time between reports of the teams' demand. */
-#define USES_US (900 * CFS_US_PER_MS)
+#define DEMAND_INTERVAL_US (900 * CFS_US_PER_MS)
 /* The same while a team has demand here and no share. */
-#define USES_URGENT_US (100 * CFS_US_PER_MS)
+#define DEMAND_URGENT_INTERVAL_US (100 * CFS_US_PER_MS)
 /* Teams in one ask for tokens. */
-#define ASK_TEAMS_MAX 64
+#define TOKEN_REQUEST_TEAMS_MAX 64
 /* Stages of a planned stop, in parts of the stop time. */
-#define CLOSE_RESTING_PART 0.17
-#define REFUSE_NEW_PART 0.42
-#define ABANDON_PART 0.5
+#define CLOSE_IDLE_FRACTION 0.17
+#define REFUSE_NEW_FRACTION 0.42
+#define ROLLBACK_FRACTION 0.5
 /* A stopping host closes a session that rested for this time at first, and
    any session at rest later. */
-#define REST_US (300 * CFS_US_PER_MS)
+#define IDLE_BEFORE_CLOSE_US (300 * CFS_US_PER_MS)
 /* Left at the end of the stop time for the process itself. */
-#define STOP_SPARE_US (700 * CFS_US_PER_MS)
+#define EXIT_RESERVE_US (700 * CFS_US_PER_MS)
 
 struct cfs_front
 {
   const struct cfs_settings *settings;
-  apr_pool_t *apr;
+  apr_pool_t *apr_pool;
   struct cfs_loop *loop;
   struct cfs_fleet fleet;
   struct cfs_quota quota;
-  struct cfs_target_adapter *edge;
+  struct cfs_target_adapter *adapter;
   struct cfs_pool *pool;
   struct cfs_sessions *sessions;
   struct callers *callers;
-  struct ready *ready;
-  struct cfs_thread_channel *pair;
-  int64_t uses_at;
+  struct readiness_server *readiness;
+  struct cfs_thread_channel *channel;
+  int64_t demand_sent_at;
   uint64_t suspects_hash;
   bool draining;
   bool was_ready;
@@ -89,30 +89,31 @@
   struct cfs_front *f = cfs_alloc (sizeof *f);
   struct cfs_sessions_setup sessions
       = { .fleet = &f->fleet, .quota = &f->quota };
-  struct readiness_server_setup ready = { .address = settings->ready_address,
-                                          .is_ready = is_ready,
-                                          .metrics = metrics,
-                                          .ctx = f };
+  struct readiness_server_setup readiness
+      = { .address = settings->ready_address,
+          .is_ready = is_ready,
+          .metrics = metrics,
+          .ctx = f };
 
   f->settings = settings;
   f->suspects_hash = 1;
   cfs_fleet_init (&f->fleet, settings, &document_decoder);
   cfs_quota_init (&f->quota, cfs_now ());
-  apr_pool_create (&f->apr, NULL);
-  f->loop = cfs_loop_new (f->apr);
-  f->pair = cfs_thread_channel_new (zmq, TRAFFIC_ENDPOINT, false, f->loop);
-  f->edge = instances_adapter_new (f->loop);
-  f->pool = cfs_pool_new (f->edge, &f->fleet, cfs_now,
+  apr_pool_create (&f->apr_pool, NULL);
+  f->loop = cfs_loop_new (f->apr_pool);
+  f->channel = cfs_thread_channel_new (zmq, TRAFFIC_ENDPOINT, false, f->loop);
+  f->adapter = instances_adapter_new (f->loop);
+  f->pool = cfs_pool_new (f->adapter, &f->fleet, cfs_now,
                           cfs_hash (settings->host, strlen (settings->host), 1)
                               | 1);
   sessions.pool = f->pool;
   f->sessions = cfs_sessions_new (&sessions);
-  ready.loop = f->loop;
-  f->ready = readiness_server_new (&ready, error);
-  if (f->ready)
+  readiness.loop = f->loop;
+  f->readiness = readiness_server_new (&readiness, error);
+  if (f->readiness)
     f->callers
         = callers_new (f->loop, settings->session_address, f->sessions, error);
-  if (f->pair && f->callers)
+  if (f->channel && f->callers)
     return f;
   cfs_front_free (f);
   return NULL;
@@ -126,12 +127,12 @@
   callers_free (f->callers);
   cfs_sessions_free (f->sessions);
   cfs_pool_free (f->pool);
-  instances_adapter_free (f->edge);
-  readiness_server_free (f->ready);
-  cfs_thread_channel_free (f->pair);
+  instances_adapter_free (f->adapter);
+  readiness_server_free (f->readiness);
+  cfs_thread_channel_free (f->channel);
   cfs_quota_end (&f->quota);
   cfs_fleet_end (&f->fleet);
-  apr_pool_destroy (f->apr);
+  apr_pool_destroy (f->apr_pool);
   free (f);
 }
 
@@ -146,7 +147,7 @@
 }
 
 static void
-take_reply (struct cfs_front *f, const Cfs__HeartbeatReply *r)
+apply_reply (struct cfs_front *f, const Cfs__HeartbeatReply *r)
 {
   int64_t until = shares_until (f, r);
 
@@ -159,7 +160,7 @@
 }
 
 static void
-take_tokens (struct cfs_front *f, const Cfs__TokensGrant *g)
+apply_token_grant (struct cfs_front *f, const Cfs__TokensGrant *g)
 {
   for (size_t i = 0; i < g->n_teams; i++)
     {
@@ -174,23 +175,23 @@
 }
 
 static void
-pump_pair (struct cfs_front *f)
+receive_from_control (struct cfs_front *f)
 {
   Cfs__Peer *msg;
 
-  while ((msg = cfs_thread_channel_receive (f->pair)))
+  while ((msg = cfs_thread_channel_receive (f->channel)))
     {
       if (msg->body_case == CFS__PEER__BODY_REPLY)
-        take_reply (f, msg->reply);
+        apply_reply (f, msg->reply);
       else if (msg->body_case == CFS__PEER__BODY_TOKENS_GRANT)
-        take_tokens (f, msg->tokens_grant);
+        apply_token_grant (f, msg->tokens_grant);
       cfs__peer__free_unpacked (msg, NULL);
     }
 }
 
 /* Whether a team asks here whose share is not settled yet. */
 static bool
-lacks_share (const struct cfs_front *f)
+has_unsettled_demand (const struct cfs_front *f)
 {
   for (size_t i = 0; i < f->quota.teams.count; i++)
     {
@@ -203,36 +204,37 @@
 }
 
 static void
-send_uses (struct cfs_front *f, int64_t now)
+send_demand (struct cfs_front *f, int64_t now)
 {
   const struct cfs_catalog *c = f->fleet.catalog;
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__Heartbeat h = CFS__HEARTBEAT__INIT;
-  Cfs__TeamUse *rows;
-  int64_t wait = lacks_share (f) ? USES_URGENT_US : USES_US;
+  Cfs__TeamUse *entries;
+  int64_t wait = has_unsettled_demand (f) ? DEMAND_URGENT_INTERVAL_US
+                                          : DEMAND_INTERVAL_US;
 
-  if (!c || c->team_count == 0 || now - f->uses_at < wait)
+  if (!c || c->team_count == 0 || now - f->demand_sent_at < wait)
     return;
-  f->uses_at = now;
-  rows = cfs_alloc (c->team_count * sizeof *rows);
+  f->demand_sent_at = now;
+  entries = cfs_alloc (c->team_count * sizeof *entries);
   h.uses = cfs_alloc (c->team_count * sizeof *h.uses);
   for (size_t i = 0; i < c->team_count; i++)
     {
       struct cfs_quota_team *q
           = cfs_table_add (&f->quota.teams, c->teams[i].name);
 
-      cfs__team_use__init (&rows[i]);
-      rows[i].team = c->teams[i].name;
-      rows[i].demand = cfs_quota_demand (q, now);
-      rows[i].share = now < f->quota.until ? q->share : 0;
-      h.uses[h.n_uses++] = &rows[i];
+      cfs__team_use__init (&entries[i]);
+      entries[i].team = c->teams[i].name;
+      entries[i].demand = cfs_quota_demand (q, now);
+      entries[i].share = now < f->quota.until ? q->share : 0;
+      h.uses[h.n_uses++] = &entries[i];
     }
   h.idle_us = now - f->quota.used_at;
   out.body_case = CFS__PEER__BODY_HEARTBEAT;
   out.heartbeat = &h;
-  cfs_thread_channel_send (f->pair, &out);
+  cfs_thread_channel_send (f->channel, &out);
   free (h.uses);
-  free (rows);
+  free (entries);
 }
 
 static void
@@ -268,24 +270,24 @@
   f->suspects_hash = hash;
   out.body_case = CFS__PEER__BODY_HEARTBEAT;
   out.heartbeat = &h;
-  cfs_thread_channel_send (f->pair, &out);
+  cfs_thread_channel_send (f->channel, &out);
 }
 
 /* Asks for tokens where operations wait for them. */
 static void
-send_ask (struct cfs_front *f, int64_t now)
+send_token_request (struct cfs_front *f, int64_t now)
 {
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__TokensAsk ask = CFS__TOKENS_ASK__INIT;
-  Cfs__TeamTokens rows[ASK_TEAMS_MAX];
-  Cfs__TeamTokens *list[ASK_TEAMS_MAX];
+  Cfs__TeamTokens entries[TOKEN_REQUEST_TEAMS_MAX];
+  Cfs__TeamTokens *list[TOKEN_REQUEST_TEAMS_MAX];
 
-  for (size_t i = 0; i < f->quota.teams.count && ask.n_teams < ASK_TEAMS_MAX;
-       i++)
+  for (size_t i = 0;
+       i < f->quota.teams.count && ask.n_teams < TOKEN_REQUEST_TEAMS_MAX; i++)
     {
       struct cfs_quota_team *r = cfs_table_at (&f->quota.teams, i);
       uint32_t count = r->waiting ? cfs_quota_tokens_to_request (r, now) : 0;
-      Cfs__TeamTokens *row = &rows[ask.n_teams];
+      Cfs__TeamTokens *row = &entries[ask.n_teams];
 
       if (!count)
         continue;
@@ -301,11 +303,11 @@
   ask.teams = list;
   out.body_case = CFS__PEER__BODY_TOKENS_ASK;
   out.tokens_ask = &ask;
-  cfs_thread_channel_send (f->pair, &out);
+  cfs_thread_channel_send (f->channel, &out);
 }
 
 static void
-log_ready (struct cfs_front *f)
+log_readiness (struct cfs_front *f)
 {
   bool now_ready = is_ready (f);
 
@@ -318,48 +320,51 @@
 }
 
 static void
-turn (struct cfs_front *f)
+run_once (struct cfs_front *f)
 {
   int64_t now;
 
-  readiness_server_pump (f->ready);
-  pump_pair (f);
+  readiness_server_pump (f->readiness);
+  receive_from_control (f);
   cfs_loop_poll (f->loop, TICK_US);
-  pump_pair (f);
+  receive_from_control (f);
   now = cfs_now ();
   cfs_pool_tick (f->pool, now);
   cfs_sessions_tick (f->sessions, now);
-  send_uses (f, now);
-  send_ask (f, now);
+  send_demand (f, now);
+  send_token_request (f, now);
   send_suspects (f, now);
-  log_ready (f);
+  log_readiness (f);
 }
 
 /* One turn of a planned stop.  Returns whether nothing is left to do. */
 static bool
-drain_turn (struct cfs_front *f, double part)
+drain_step (struct cfs_front *f, double elapsed_fraction)
 {
-  turn (f);
-  if (part > REFUSE_NEW_PART)
+  run_once (f);
+  if (elapsed_fraction > REFUSE_NEW_FRACTION)
     cfs_sessions_stop_accepting (f->sessions);
-  if (part > CLOSE_RESTING_PART)
-    cfs_sessions_drain (f->sessions, part > REFUSE_NEW_PART ? 0 : REST_US,
-                        part > ABANDON_PART, cfs_now ());
-  return part > REFUSE_NEW_PART && cfs_sessions_count (f->sessions) == 0;
+  if (elapsed_fraction > CLOSE_IDLE_FRACTION)
+    cfs_sessions_drain (
+        f->sessions,
+        elapsed_fraction > REFUSE_NEW_FRACTION ? 0 : IDLE_BEFORE_CLOSE_US,
+        elapsed_fraction > ROLLBACK_FRACTION, cfs_now ());
+  return elapsed_fraction > REFUSE_NEW_FRACTION
+         && cfs_sessions_count (f->sessions) == 0;
 }
 
 static void
 drain (struct cfs_front *f)
 {
-  int64_t whole = (int64_t)f->settings->stop_seconds * CFS_US_PER_S;
+  int64_t stop_time = (int64_t)f->settings->stop_seconds * CFS_US_PER_S;
   int64_t started = cfs_now ();
   int64_t since = 0;
   bool done = false;
 
   f->draining = true;
-  while (!done && since < whole - STOP_SPARE_US)
+  while (!done && since < stop_time - EXIT_RESERVE_US)
     {
-      done = drain_turn (f, (double)since / (double)whole);
+      done = drain_step (f, (double)since / (double)stop_time);
       since = cfs_now () - started;
     }
 }
@@ -370,7 +375,7 @@
   cfs_log (CFS_NOTICE, PART, "starts, sessions on %s, ready on %s",
            f->settings->session_address, f->settings->ready_address);
   while (!*stop)
-    turn (f);
+    run_once (f);
   cfs_log (CFS_NOTICE, PART, "stops with sessions=%zu",
            cfs_sessions_count (f->sessions));
   drain (f);
--- a/src/process/log.c
+++ b/src/process/log.c
@@ -19,7 +19,7 @@
 #define LINES_PER_S 200.0
 #define LINES_BURST 400.0
 /* Part of the burst that lines of level INFO may not use. */
-#define LINES_KEPT 200.0
+#define LINES_RESERVED 200.0
 #define NS_PER_S 1e9
 
 static struct
@@ -28,10 +28,10 @@
   char host[64];
   enum cfs_level level;
   double tokens;
-  struct timespec filled;
+  struct timespec refilled_at;
   uint64_t written;
   uint64_t lost;
-  uint64_t lost_told;
+  uint64_t lost_reported;
 } log_state = { .lock = PTHREAD_MUTEX_INITIALIZER,
                 .host = "-",
                 .level = CFS_INFO,
@@ -54,23 +54,23 @@
 take_token (enum cfs_level level)
 {
   struct timespec now;
-  double passed;
+  double elapsed;
 
   clock_gettime (CLOCK_BOOTTIME, &now);
-  passed = (double)(now.tv_sec - log_state.filled.tv_sec)
-           + (double)(now.tv_nsec - log_state.filled.tv_nsec) / NS_PER_S;
-  log_state.filled = now;
-  log_state.tokens += passed * LINES_PER_S;
+  elapsed = (double)(now.tv_sec - log_state.refilled_at.tv_sec)
+            + (double)(now.tv_nsec - log_state.refilled_at.tv_nsec) / NS_PER_S;
+  log_state.refilled_at = now;
+  log_state.tokens += elapsed * LINES_PER_S;
   if (log_state.tokens > LINES_BURST)
     log_state.tokens = LINES_BURST;
-  if (log_state.tokens < (level >= CFS_INFO ? LINES_KEPT : 1))
+  if (log_state.tokens < (level >= CFS_INFO ? LINES_RESERVED : 1))
     return false;
   log_state.tokens -= 1;
   return true;
 }
 
 static int
-start_line (char *line, enum cfs_level level, const char *part)
+format_prefix (char *line, enum cfs_level level, const char *part)
 {
   struct timespec now;
   struct tm tm;
@@ -85,7 +85,7 @@
 }
 
 static void
-put_line (char *line, int len)
+write_line (char *line, int len)
 {
   if (len > LINE_MAX_BYTES - 2)
     len = LINE_MAX_BYTES - 2;
@@ -100,15 +100,15 @@
 }
 
 static void
-tell_lost (void)
+log_lost_count (void)
 {
   char line[LINE_MAX_BYTES];
-  int len = start_line (line, CFS_WARNING, "log");
+  int len = format_prefix (line, CFS_WARNING, "log");
 
   len += snprintf (line + len, sizeof line - (size_t)len,
                    "lines lost=%" PRIu64, log_state.lost);
-  log_state.lost_told = log_state.lost;
-  put_line (line, len);
+  log_state.lost_reported = log_state.lost;
+  write_line (line, len);
 }
 
 void
@@ -125,13 +125,13 @@
     log_state.lost++;
   else
     {
-      if (log_state.lost > log_state.lost_told)
-        tell_lost ();
-      len = start_line (line, level, part);
+      if (log_state.lost > log_state.lost_reported)
+        log_lost_count ();
+      len = format_prefix (line, level, part);
       va_start (args, format);
       len += vsnprintf (line + len, sizeof line - (size_t)len, format, args);
       va_end (args);
-      put_line (line, len);
+      write_line (line, len);
     }
   pthread_mutex_unlock (&log_state.lock);
 }
--- a/src/process/loop.c
+++ b/src/process/loop.c
@@ -110,7 +110,7 @@
 
 /* The owner receives by itself; the event only ends the wait. */
 static void
-wake (void *ctx, int events)
+ignore_event (void *ctx, int events)
 {
   (void)ctx;
   (void)events;
@@ -123,7 +123,7 @@
   size_t len = sizeof fd;
 
   zmq_getsockopt (socket, ZMQ_FD, &fd, &len);
-  return cfs_loop_add (l, fd, LOOP_READ, wake, NULL);
+  return cfs_loop_add (l, fd, LOOP_READ, ignore_event, NULL);
 }
 
 void
--- a/src/process/message_codec.c
+++ b/src/process/message_codec.c
@@ -10,7 +10,7 @@
 #include <zlib.h>
 
 static uint8_t *
-pack_plain (const Cfs__Peer *msg, size_t *len)
+encode_plain (const Cfs__Peer *msg, size_t *len)
 {
   uint8_t *data;
 
@@ -22,7 +22,7 @@
 
 /* The bytes of a message that carries @plain, or NULL when it is no gain. */
 static uint8_t *
-deflate_plain (const uint8_t *plain, size_t plain_len, size_t *len)
+encode_deflated (const uint8_t *plain, size_t plain_len, size_t *len)
 {
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__Deflated d = CFS__DEFLATED__INIT;
@@ -37,7 +37,7 @@
       d.data.len = size;
       out.body_case = CFS__PEER__BODY_DEFLATED;
       out.deflated = &d;
-      data = pack_plain (&out, len);
+      data = encode_plain (&out, len);
     }
   free (d.data.data);
   return data;
@@ -46,13 +46,13 @@
 uint8_t *
 cfs_message_encode (const Cfs__Peer *msg, size_t *len)
 {
-  uint8_t *plain = pack_plain (msg, len);
+  uint8_t *plain = encode_plain (msg, len);
   uint8_t *deflated;
   size_t size;
 
   if (*len < MESSAGE_COMPRESS_MIN_BYTES || *len > MESSAGE_INFLATED_MAX_BYTES)
     return plain;
-  deflated = deflate_plain (plain, *len, &size);
+  deflated = encode_deflated (plain, *len, &size);
   if (!deflated)
     return plain;
   free (plain);
@@ -61,7 +61,7 @@
 }
 
 static Cfs__Peer *
-inflate_plain (const Cfs__Deflated *d)
+decode_deflated (const Cfs__Deflated *d)
 {
   Cfs__Peer *msg = NULL;
   uLongf size = d->size;
@@ -90,7 +90,7 @@
 
   if (!msg || msg->body_case != CFS__PEER__BODY_DEFLATED)
     return msg;
-  inner = inflate_plain (msg->deflated);
+  inner = decode_deflated (msg->deflated);
   cfs__peer__free_unpacked (msg, NULL);
   return inner;
 }
--- a/src/process/net.c
+++ b/src/process/net.c
@@ -14,19 +14,19 @@
 #include <string.h>
 #include <zmq.h>
 
-#define SEND_QUEUE 10000
-#define PING_MS 500
-#define PING_TIMEOUT_MS 1500
-#define CONNECT_MAX_MS 1000
-#define SILENCE_MAX_MS 2000
-#define HANDSHAKE_MAX_MS 2000
+#define QUEUE_LIMIT 10000
+#define HEARTBEAT_MS 500
+#define HEARTBEAT_TIMEOUT_MS 1500
+#define CONNECT_TIMEOUT_MS 1000
+#define TCP_TIMEOUT_MS 2000
+#define HANDSHAKE_TIMEOUT_MS 2000
 #define RECONNECT_MS 50
 #define RECONNECT_MAX_MS 500
 #define ENDPOINT_MAX 96
-#define GUARD_ENDPOINT "inproc://zeromq.zap.01"
-#define GUARD_STOP "inproc://coltsfootstage-guard-stop"
+#define ZAP_ENDPOINT "inproc://zeromq.zap.01"
+#define ZAP_STOP_ENDPOINT "inproc://coltsfootstage-guard-stop"
 
-struct link
+struct peer_conn
 {
   char endpoint[ENDPOINT_MAX];
   void *socket;
@@ -39,7 +39,7 @@
   struct cfs_loop *loop;
   void *router;
   int watch;
-  struct link *links;
+  struct peer_conn *peers;
   size_t count;
   size_t cap;
 };
@@ -59,16 +59,16 @@
 }
 
 static void
-set_common (void *socket)
+set_common_options (void *socket)
 {
   set_int (socket, ZMQ_LINGER, 0);
-  set_int (socket, ZMQ_SNDHWM, SEND_QUEUE);
-  set_int (socket, ZMQ_RCVHWM, SEND_QUEUE);
-  set_int (socket, ZMQ_HEARTBEAT_IVL, PING_MS);
-  set_int (socket, ZMQ_HEARTBEAT_TIMEOUT, PING_TIMEOUT_MS);
-  set_int (socket, ZMQ_CONNECT_TIMEOUT, CONNECT_MAX_MS);
-  set_int (socket, ZMQ_TCP_MAXRT, SILENCE_MAX_MS);
-  set_int (socket, ZMQ_HANDSHAKE_IVL, HANDSHAKE_MAX_MS);
+  set_int (socket, ZMQ_SNDHWM, QUEUE_LIMIT);
+  set_int (socket, ZMQ_RCVHWM, QUEUE_LIMIT);
+  set_int (socket, ZMQ_HEARTBEAT_IVL, HEARTBEAT_MS);
+  set_int (socket, ZMQ_HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_MS);
+  set_int (socket, ZMQ_CONNECT_TIMEOUT, CONNECT_TIMEOUT_MS);
+  set_int (socket, ZMQ_TCP_MAXRT, TCP_TIMEOUT_MS);
+  set_int (socket, ZMQ_HANDSHAKE_IVL, HANDSHAKE_TIMEOUT_MS);
   set_int (socket, ZMQ_RECONNECT_IVL, RECONNECT_MS);
   set_int (socket, ZMQ_RECONNECT_IVL_MAX, RECONNECT_MAX_MS);
 }
@@ -81,7 +81,7 @@
   if (n->setup.port == 0)
     return true;
   n->router = zmq_socket (n->setup.zmq, ZMQ_ROUTER);
-  set_common (n->router);
+  set_common_options (n->router);
   if (*n->setup.public_key)
     {
       set_int (n->router, ZMQ_CURVE_SERVER, 1);
@@ -116,15 +116,15 @@
     return;
   for (size_t i = 0; i < n->count; i++)
     {
-      cfs_loop_remove (n->loop, n->links[i].watch);
-      zmq_close (n->links[i].socket);
+      cfs_loop_remove (n->loop, n->peers[i].watch);
+      zmq_close (n->peers[i].socket);
     }
   if (n->router)
     {
       cfs_loop_remove (n->loop, n->watch);
       zmq_close (n->router);
     }
-  free (n->links);
+  free (n->peers);
   free (n);
 }
 
@@ -142,27 +142,27 @@
                   strlen (secret_key));
 }
 
-static struct link *
-find_link (struct cfs_net *n, const char *address, uint32_t port)
+static struct peer_conn *
+peer_for_address (struct cfs_net *n, const char *address, uint32_t port)
 {
   char endpoint[ENDPOINT_MAX];
-  struct link *l;
+  struct peer_conn *p;
 
   snprintf (endpoint, sizeof endpoint, "tcp://%s:%u", address, port);
   for (size_t i = 0; i < n->count; i++)
-    if (strcmp (n->links[i].endpoint, endpoint) == 0)
-      return &n->links[i];
-  cfs_grow (&n->links, &n->cap, n->count, sizeof *n->links);
-  l = &n->links[n->count++];
-  cfs_copy (l->endpoint, sizeof l->endpoint, endpoint);
-  l->socket = zmq_socket (n->setup.zmq, ZMQ_DEALER);
-  set_common (l->socket);
-  set_int (l->socket, ZMQ_IMMEDIATE, 1);
+    if (strcmp (n->peers[i].endpoint, endpoint) == 0)
+      return &n->peers[i];
+  cfs_grow (&n->peers, &n->cap, n->count, sizeof *n->peers);
+  p = &n->peers[n->count++];
+  cfs_copy (p->endpoint, sizeof p->endpoint, endpoint);
+  p->socket = zmq_socket (n->setup.zmq, ZMQ_DEALER);
+  set_common_options (p->socket);
+  set_int (p->socket, ZMQ_IMMEDIATE, 1);
   if (*n->setup.public_key)
-    set_curve (n, l->socket);
-  zmq_connect (l->socket, endpoint);
-  l->watch = cfs_loop_add_zmq (n->loop, l->socket);
-  return l;
+    set_curve (n, p->socket);
+  zmq_connect (p->socket, endpoint);
+  p->watch = cfs_loop_add_zmq (n->loop, p->socket);
+  return p;
 }
 
 static void
@@ -190,7 +190,7 @@
 cfs_net_send (struct cfs_net *n, const char *address, uint32_t port,
               const Cfs__Peer *msg)
 {
-  return send_packed (find_link (n, address, port)->socket, msg);
+  return send_packed (peer_for_address (n, address, port)->socket, msg);
 }
 
 void
@@ -203,7 +203,7 @@
 }
 
 static void
-deliver (struct cfs_net *n, const struct cfs_origin *from, zmq_msg_t *msg)
+dispatch (struct cfs_net *n, const struct cfs_origin *from, zmq_msg_t *msg)
 {
   Cfs__Peer *peer
       = cfs_message_decode (zmq_msg_data (msg), zmq_msg_size (msg));
@@ -215,7 +215,7 @@
 }
 
 static bool
-receive_routed (struct cfs_net *n)
+receive_request (struct cfs_net *n)
 {
   struct cfs_origin from;
   zmq_msg_t msg;
@@ -228,21 +228,21 @@
                                                 : sizeof from.identity;
   zmq_msg_init (&msg);
   if (zmq_msg_recv (&msg, n->router, ZMQ_DONTWAIT) >= 0)
-    deliver (n, &from, &msg);
+    dispatch (n, &from, &msg);
   zmq_msg_close (&msg);
   return true;
 }
 
 static bool
-receive_reply (struct cfs_net *n, size_t link)
+receive_reply (struct cfs_net *n, size_t peer)
 {
   zmq_msg_t msg;
   bool got;
 
   zmq_msg_init (&msg);
-  got = zmq_msg_recv (&msg, n->links[link].socket, ZMQ_DONTWAIT) >= 0;
+  got = zmq_msg_recv (&msg, n->peers[peer].socket, ZMQ_DONTWAIT) >= 0;
   if (got)
-    deliver (n, NULL, &msg);
+    dispatch (n, NULL, &msg);
   zmq_msg_close (&msg);
   return got;
 }
@@ -250,7 +250,7 @@
 void
 cfs_net_pump (struct cfs_net *n)
 {
-  while (n->router && receive_routed (n))
+  while (n->router && receive_request (n))
     continue;
   for (size_t i = 0; i < n->count; i++)
     while (receive_reply (n, i))
@@ -260,7 +260,7 @@
 /* One question of the protocol "ZAP" (ZeroMQ RFC 27): frames version,
    request id, domain, address, identity, mechanism, key. */
 static void
-answer_guard (struct cfs_zap_handler *g, void *zap)
+answer_zap_request (struct cfs_zap_handler *h, void *zap)
 {
   enum
   {
@@ -278,8 +278,8 @@
 
   while (more)
     {
-      char spare[FRAME_MAX];
-      char *to = count < FRAMES ? frames[count] : spare;
+      char discarded[FRAME_MAX];
+      char *to = count < FRAMES ? frames[count] : discarded;
       int len = zmq_recv (zap, to, FRAME_MAX, 0);
 
       if (len < 0)
@@ -290,7 +290,7 @@
     }
   if (count > 6 && lens[6] == KEY_BYTES)
     zmq_z85_encode (key, (uint8_t *)frames[6], KEY_BYTES);
-  ok = count == FRAMES && strcmp (key, g->key) == 0;
+  ok = count == FRAMES && strcmp (key, h->key) == 0;
   zmq_send (zap, "1.0", 3, ZMQ_SNDMORE);
   zmq_send (zap, frames[1], count > 1 ? (size_t)lens[1] : 0, ZMQ_SNDMORE);
   zmq_send (zap, ok ? "200" : "400", 3, ZMQ_SNDMORE);
@@ -300,20 +300,20 @@
 }
 
 static void *
-guard_main (void *arg)
+zap_main (void *arg)
 {
-  struct cfs_zap_handler *g = arg;
-  void *zap = zmq_socket (g->zmq, ZMQ_REP);
-  void *stop = zmq_socket (g->zmq, ZMQ_PAIR);
+  struct cfs_zap_handler *h = arg;
+  void *zap = zmq_socket (h->zmq, ZMQ_REP);
+  void *stop = zmq_socket (h->zmq, ZMQ_PAIR);
   zmq_pollitem_t items[2]
       = { { zap, 0, ZMQ_POLLIN, 0 }, { stop, 0, ZMQ_POLLIN, 0 } };
 
-  zmq_bind (zap, GUARD_ENDPOINT);
-  zmq_connect (stop, GUARD_STOP);
+  zmq_bind (zap, ZAP_ENDPOINT);
+  zmq_connect (stop, ZAP_STOP_ENDPOINT);
   zmq_send (stop, "", 0, 0);
   while (zmq_poll (items, 2, -1) >= 0 && !(items[1].revents & ZMQ_POLLIN))
     if (items[0].revents & ZMQ_POLLIN)
-      answer_guard (g, zap);
+      answer_zap_request (h, zap);
   zmq_close (zap);
   zmq_close (stop);
   return NULL;
@@ -322,29 +322,29 @@
 struct cfs_zap_handler *
 cfs_zap_handler_new (void *zmq, const char *public_key)
 {
-  struct cfs_zap_handler *g = cfs_alloc (sizeof *g);
+  struct cfs_zap_handler *h = cfs_alloc (sizeof *h);
 
-  g->zmq = zmq;
-  cfs_copy (g->key, sizeof g->key, public_key);
-  g->stop = zmq_socket (zmq, ZMQ_PAIR);
-  zmq_bind (g->stop, GUARD_STOP);
-  if (pthread_create (&g->thread, NULL, guard_main, g) != 0)
+  h->zmq = zmq;
+  cfs_copy (h->key, sizeof h->key, public_key);
+  h->stop = zmq_socket (zmq, ZMQ_PAIR);
+  zmq_bind (h->stop, ZAP_STOP_ENDPOINT);
+  if (pthread_create (&h->thread, NULL, zap_main, h) != 0)
     {
-      zmq_close (g->stop);
-      free (g);
+      zmq_close (h->stop);
+      free (h);
       return NULL;
     }
-  zmq_recv (g->stop, NULL, 0, 0);
-  return g;
+  zmq_recv (h->stop, NULL, 0, 0);
+  return h;
 }
 
 void
-cfs_zap_handler_free (struct cfs_zap_handler *g)
+cfs_zap_handler_free (struct cfs_zap_handler *h)
 {
-  if (!g)
+  if (!h)
     return;
-  zmq_send (g->stop, "", 0, 0);
-  pthread_join (g->thread, NULL);
-  zmq_close (g->stop);
-  free (g);
+  zmq_send (h->stop, "", 0, 0);
+  pthread_join (h->thread, NULL);
+  zmq_close (h->stop);
+  free (h);
 }
--- a/src/process/net.h
+++ b/src/process/net.h
@@ -88,6 +88,6 @@
                                              const char *public_key);
 
 /** cfs_zap_handler_free() - stops the handler's thread */
-void cfs_zap_handler_free (struct cfs_zap_handler *guard);
+void cfs_zap_handler_free (struct cfs_zap_handler *handler);
 
 #endif
--- a/src/process/node.c
+++ b/src/process/node.c
@@ -28,14 +28,14 @@
 {
   const struct cfs_settings *settings;
   void *zmq;
-  struct cfs_thread_channel *pair;
-  struct cfs_zap_handler *guard;
+  struct cfs_thread_channel *channel;
+  struct cfs_zap_handler *zap;
   struct cfs_loop *loop;
   struct cfs_control *control;
   struct cfs_control_client *agent;
   apr_pool_t *pool;
   volatile bool stop;
-  uint64_t boot;
+  uint64_t boot_id;
 };
 
 static volatile bool stop_requested;
@@ -48,44 +48,44 @@
 }
 
 static void
-on_renewed (void *ctx, Cfs__HeartbeatReply *reply)
+on_heartbeat_reply (void *ctx, Cfs__HeartbeatReply *reply)
 {
   Cfs__Peer out = CFS__PEER__INIT;
 
   out.body_case = CFS__PEER__BODY_REPLY;
   out.reply = reply;
-  cfs_thread_channel_send (((struct node *)ctx)->pair, &out);
+  cfs_thread_channel_send (((struct node *)ctx)->channel, &out);
 }
 
 static void
-on_called (void *ctx, Cfs__OperatorReply *reply)
+on_operator_reply (void *ctx, Cfs__OperatorReply *reply)
 {
   Cfs__Peer out = CFS__PEER__INIT;
 
   out.body_case = CFS__PEER__BODY_CALLED;
   out.called = reply;
-  cfs_thread_channel_send (((struct node *)ctx)->pair, &out);
+  cfs_thread_channel_send (((struct node *)ctx)->channel, &out);
 }
 
 static void
-on_tokens (void *ctx, Cfs__TokensGrant *grant)
+on_token_grant (void *ctx, Cfs__TokensGrant *grant)
 {
   Cfs__Peer out = CFS__PEER__INIT;
 
   out.body_case = CFS__PEER__BODY_TOKENS_GRANT;
   out.tokens_grant = grant;
-  cfs_thread_channel_send (((struct node *)ctx)->pair, &out);
+  cfs_thread_channel_send (((struct node *)ctx)->channel, &out);
 }
 
 static const struct cfs_control_client_ops agent_ops
-    = { on_renewed, on_called, on_tokens };
+    = { on_heartbeat_reply, on_operator_reply, on_token_grant };
 
 static void
-pump_pair (struct node *n)
+receive_from_traffic (struct node *n)
 {
   Cfs__Peer *peer;
 
-  while ((peer = cfs_thread_channel_receive (n->pair)))
+  while ((peer = cfs_thread_channel_receive (n->channel)))
     if (peer->body_case == CFS__PEER__BODY_HEARTBEAT)
       cfs_control_client_report (n->agent, peer);
     else if (peer->body_case == CFS__PEER__BODY_CALL)
@@ -109,7 +109,7 @@
     {
       int64_t now;
 
-      pump_pair (n);
+      receive_from_traffic (n);
       cfs_control_client_pump (n->agent);
       if (n->control)
         cfs_control_pump (n->control);
@@ -135,19 +135,20 @@
 }
 
 static void
-end_node (struct node *n)
+node_cleanup (struct node *n)
 {
   cfs_control_client_free (n->agent);
   cfs_control_free (n->control);
-  cfs_thread_channel_free (n->pair);
-  cfs_zap_handler_free (n->guard);
+  cfs_thread_channel_free (n->channel);
+  cfs_zap_handler_free (n->zap);
   zmq_ctx_term (n->zmq);
   apr_pool_destroy (n->pool);
 }
 
 /* Runs the control thread while the calling thread carries traffic. */
 static bool
-run_beside (struct node *n, void (*run) (void *traffic), void *traffic)
+run_with_control_thread (struct node *n, void (*run) (void *traffic),
+                         void *traffic)
 {
   apr_thread_t *thread;
   apr_status_t rc;
@@ -162,7 +163,7 @@
 }
 
 static void
-run_calls (void *traffic)
+run_http (void *traffic)
 {
   cfs_traffic_run (traffic, &stop_requested);
 }
@@ -174,11 +175,11 @@
 }
 
 static bool
-serve_calls (struct node *n, GError **error)
+serve_http (struct node *n, GError **error)
 {
   struct cfs_traffic *traffic
-      = cfs_traffic_new (n->settings, n->boot, n->zmq, error);
-  bool ok = traffic && run_beside (n, run_calls, traffic);
+      = cfs_traffic_new (n->settings, n->boot_id, n->zmq, error);
+  bool ok = traffic && run_with_control_thread (n, run_http, traffic);
 
   cfs_traffic_free (traffic);
   return ok;
@@ -188,7 +189,7 @@
 serve_sessions (struct node *n, GError **error)
 {
   struct cfs_front *front = cfs_front_new (n->settings, n->zmq, error);
-  bool ok = front && run_beside (n, run_sessions, front);
+  bool ok = front && run_with_control_thread (n, run_sessions, front);
 
   cfs_front_free (front);
   return ok;
@@ -206,21 +207,21 @@
   signal (SIGHUP, on_signal);
   apr_initialize ();
   apr_pool_create (&n.pool, NULL);
-  randombytes_buf (&n.boot, sizeof n.boot);
+  randombytes_buf (&n.boot_id, sizeof n.boot_id);
   n.zmq = zmq_ctx_new ();
   if (*settings->curve_public)
-    n.guard = cfs_zap_handler_new (n.zmq, settings->curve_public);
+    n.zap = cfs_zap_handler_new (n.zmq, settings->curve_public);
   n.loop = cfs_loop_new (n.pool);
-  n.pair = cfs_thread_channel_new (n.zmq, TRAFFIC_ENDPOINT, true, n.loop);
+  n.channel = cfs_thread_channel_new (n.zmq, TRAFFIC_ENDPOINT, true, n.loop);
   ok = open_control (&n, error);
   if (ok)
     {
-      n.agent = cfs_control_client_new (&agent_ops, &n, settings, n.boot,
+      n.agent = cfs_control_client_new (&agent_ops, &n, settings, n.boot_id,
                                         n.zmq, n.loop);
       ok = cfs_settings_serves_sessions (settings) ? serve_sessions (&n, error)
-                                                   : serve_calls (&n, error);
+                                                   : serve_http (&n, error);
     }
-  end_node (&n);
+  node_cleanup (&n);
   apr_terminate ();
   return ok;
 }
--- a/src/process/settings.c
+++ b/src/process/settings.c
@@ -11,15 +11,15 @@
 #include <string.h>
 
 #define HASH_HEX_CHARS (2 * CFS_HASH_BYTES)
-#define MAX_BODY_BYTES 1048576
-#define STOP_SECONDS 20
-#define REVOKE_MS 5000
+#define MAX_BODY_DEFAULT_BYTES 1048576
+#define STOP_DEFAULT_SECONDS 20
+#define REVOKE_DEFAULT_MS 5000
 /* Part of the time in which a withdrawn key must stop working for which a
    host acts on a configuration without news; the rest covers what is on its
    way. */
-#define DOCUMENT_LEASE_PART 0.6
+#define DOCUMENT_LEASE_FRACTION 0.6
 
-#define END_ROW                                                               \
+#define END_OF_FIELDS                                                         \
   {                                                                           \
     NULL, FIELD_BOOL, 0, 0, NULL, false, NULL                                 \
   }
@@ -28,25 +28,25 @@
     = { { "host", FIELD_NAME, 1, 48, NULL, true, NULL },
         { "address", FIELD_ADDRESS, 0, 0, NULL, true, NULL },
         { "port", FIELD_INTEGER, 1, 65535, NULL, true, NULL },
-        END_ROW };
+        END_OF_FIELDS };
 
 static const struct cfs_field curve_fields[]
     = { { "public", FIELD_STRING, CURVE_KEY_CHARS, CURVE_KEY_CHARS, NULL, true,
           NULL },
         { "secret", FIELD_STRING, CURVE_KEY_CHARS, CURVE_KEY_CHARS, NULL, true,
           NULL },
-        END_ROW };
+        END_OF_FIELDS };
 
 static const struct cfs_field target_fields[]
     = { { "user", FIELD_NAME, 1, 48, NULL, true, NULL },
         { "database", FIELD_NAME, 1, 48, NULL, true, NULL },
         { "password", FIELD_STRING, 0, 256, NULL, false, NULL },
-        END_ROW };
+        END_OF_FIELDS };
 
 static const struct cfs_field tls_fields[]
     = { { "certificate_file", FIELD_STRING, 1, 4096, NULL, true, NULL },
         { "key_file", FIELD_STRING, 1, 4096, NULL, true, NULL },
-        END_ROW };
+        END_OF_FIELDS };
 
 static const struct cfs_field settings_fields[]
     = { { "host", FIELD_NAME, 1, 48, NULL, true, NULL },
@@ -76,10 +76,10 @@
         { "control_address", FIELD_STRING, 0, 48, NULL, false, NULL },
         { "promotion_address", FIELD_STRING, 0, 48, NULL, false, NULL },
         { "revoke_ms", FIELD_INTEGER, 100, 600000, "ms", false, NULL },
-        END_ROW };
+        END_OF_FIELDS };
 
 /* Fields that a host needs which serves HTTP calls. */
-static const char *const call_fields[]
+static const char *const http_service_fields[]
     = { "http_port", "traffic_port",      "curve", "operator_key_hash",
         "control",   "announce_key_hash", "target" };
 
@@ -134,14 +134,15 @@
 }
 
 static bool
-check_call_fields (const cJSON *doc, const char *file, GError **error)
+check_http_service_fields (const cJSON *doc, const char *file, GError **error)
 {
-  for (size_t i = 0; i < sizeof call_fields / sizeof call_fields[0]; i++)
-    if (!cJSON_GetObjectItemCaseSensitive (doc, call_fields[i]))
+  for (size_t i = 0;
+       i < sizeof http_service_fields / sizeof http_service_fields[0]; i++)
+    if (!cJSON_GetObjectItemCaseSensitive (doc, http_service_fields[i]))
       {
         g_set_error (error, CFS_SCHEMA_ERROR, 0,
                      "%s: %s: found nothing, it is needed without seeds", file,
-                     call_fields[i]);
+                     http_service_fields[i]);
         return false;
       }
   return true;
@@ -208,7 +209,7 @@
 }
 
 static bool
-load_session_parts (struct cfs_settings *s, const cJSON *doc, const char *file,
+load_seed_settings (struct cfs_settings *s, const cJSON *doc, const char *file,
                     GError **error)
 {
   s->uses_seeds = true;
@@ -223,8 +224,8 @@
   cfs_copy (s->promotion_address, sizeof s->promotion_address,
             cfs_json_string (doc, "promotion_address", ""));
   s->document_lease_us
-      = (int64_t)(cfs_json_number (doc, "revoke_ms", REVOKE_MS)
-                  * DOCUMENT_LEASE_PART * CFS_US_PER_MS);
+      = (int64_t)(cfs_json_number (doc, "revoke_ms", REVOKE_DEFAULT_MS)
+                  * DOCUMENT_LEASE_FRACTION * CFS_US_PER_MS);
   if (!*s->session_address && !*s->control_address)
     return fail (error, file,
                  "session_address, control_address: found nothing, a host "
@@ -236,7 +237,7 @@
 }
 
 static void
-load_parts (struct cfs_settings *s, const cJSON *doc)
+load_nested_objects (struct cfs_settings *s, const cJSON *doc)
 {
   const cJSON *curve = cJSON_GetObjectItemCaseSensitive (doc, "curve");
   const cJSON *target = cJSON_GetObjectItemCaseSensitive (doc, "target");
@@ -277,17 +278,17 @@
   s->peer_port = (uint32_t)cfs_json_number (doc, "peer_port", s->control_port);
   s->traffic_port = (uint32_t)cfs_json_number (doc, "traffic_port", 0);
   s->data_folder = copy_or_null (doc, "data_folder");
-  s->max_body_bytes
-      = (uint32_t)cfs_json_number (doc, "max_body_bytes", MAX_BODY_BYTES);
+  s->max_body_bytes = (uint32_t)cfs_json_number (doc, "max_body_bytes",
+                                                 MAX_BODY_DEFAULT_BYTES);
   s->stop_seconds
-      = (uint32_t)cfs_json_number (doc, "stop_seconds", STOP_SECONDS);
+      = (uint32_t)cfs_json_number (doc, "stop_seconds", STOP_DEFAULT_SECONDS);
   load_hash (doc, "operator_key_hash", s->operator_hash);
   load_hash (doc, "announce_key_hash", s->announce_hash);
-  load_parts (s, doc);
+  load_nested_objects (s, doc);
   if (cJSON_GetObjectItemCaseSensitive (doc, "seeds"))
-    ok = load_session_parts (s, doc, file, error);
+    ok = load_seed_settings (s, doc, file, error);
   else
-    ok = check_call_fields (doc, file, error)
+    ok = check_http_service_fields (doc, file, error)
          && load_control (s, doc, file, error);
   cJSON_Delete (doc);
   if (ok)
--- a/src/process/thread_channel.h
+++ b/src/process/thread_channel.h
@@ -26,10 +26,10 @@
                                                    struct cfs_loop *loop);
 
 /** cfs_thread_channel_free() - closes this end, NULL is passed over */
-void cfs_thread_channel_free (struct cfs_thread_channel *pair);
+void cfs_thread_channel_free (struct cfs_thread_channel *channel);
 
 /** cfs_thread_channel_send() - packs and hands over a message */
-void cfs_thread_channel_send (struct cfs_thread_channel *pair,
+void cfs_thread_channel_send (struct cfs_thread_channel *channel,
                               const Cfs__Peer *msg);
 
 /**
@@ -38,6 +38,6 @@
  * To be called until it returns NULL, before each wait of the loop.
  * Return: a message for the caller to free, or NULL when none is left.
  */
-Cfs__Peer *cfs_thread_channel_receive (struct cfs_thread_channel *pair);
+Cfs__Peer *cfs_thread_channel_receive (struct cfs_thread_channel *channel);
 
 #endif
--- a/src/process/traffic.c
+++ b/src/process/traffic.c
@@ -20,7 +20,7 @@
 #define PART "traffic"
 #define TICK_US (4 * CFS_US_PER_MS)
 /* Time for balancers to see that a stopping host is not ready. */
-#define NOT_READY_US (500 * CFS_US_PER_MS)
+#define NOT_READY_PERIOD_US (500 * CFS_US_PER_MS)
 
 struct cfs_traffic
 {
@@ -32,7 +32,7 @@
   struct cfs_http *http;
   struct cfs_entry *entry;
   struct cfs_gates *gates;
-  struct cfs_thread_channel *pair;
+  struct cfs_thread_channel *channel;
   char *certificate;
   char *key;
   uint8_t *last_report;
@@ -42,9 +42,9 @@
 };
 
 static void
-to_control (void *ctx, const Cfs__Peer *msg)
+send_to_control (void *ctx, const Cfs__Peer *msg)
 {
-  cfs_thread_channel_send (((struct cfs_traffic *)ctx)->pair, msg);
+  cfs_thread_channel_send (((struct cfs_traffic *)ctx)->channel, msg);
 }
 
 static void
@@ -56,7 +56,7 @@
 }
 
 static void
-stop_here (void *ctx)
+on_stop_request (void *ctx)
 {
   ((struct cfs_traffic *)ctx)->stop = true;
 }
@@ -98,7 +98,7 @@
 }
 
 static void
-take_renewal (struct cfs_traffic *t, const Cfs__HeartbeatReply *r)
+apply_heartbeat_reply (struct cfs_traffic *t, const Cfs__HeartbeatReply *r)
 {
   int64_t now = cfs_now ();
   bool changed = cfs_directory_update (&t->directory, r);
@@ -109,14 +109,14 @@
 }
 
 static void
-pump_pair (struct cfs_traffic *t)
+receive_from_control (struct cfs_traffic *t)
 {
   Cfs__Peer *msg;
 
-  while ((msg = cfs_thread_channel_receive (t->pair)))
+  while ((msg = cfs_thread_channel_receive (t->channel)))
     {
       if (msg->body_case == CFS__PEER__BODY_REPLY)
-        take_renewal (t, msg->reply);
+        apply_heartbeat_reply (t, msg->reply);
       else if (msg->body_case == CFS__PEER__BODY_CALLED)
         cfs_entry_operator_reply (t->entry, msg->called);
       cfs__peer__free_unpacked (msg, NULL);
@@ -124,10 +124,10 @@
 }
 
 static bool
-open_pair (struct cfs_traffic *t, void *zmq)
+open_channel (struct cfs_traffic *t, void *zmq)
 {
-  t->pair = cfs_thread_channel_new (zmq, TRAFFIC_ENDPOINT, false, t->loop);
-  return t->pair != NULL;
+  t->channel = cfs_thread_channel_new (zmq, TRAFFIC_ENDPOINT, false, t->loop);
+  return t->channel != NULL;
 }
 
 static bool
@@ -172,24 +172,24 @@
 }
 
 struct cfs_traffic *
-cfs_traffic_new (const struct cfs_settings *settings, uint64_t boot, void *zmq,
-                 GError **error)
+cfs_traffic_new (const struct cfs_settings *settings, uint64_t boot_id,
+                 void *zmq, GError **error)
 {
   struct cfs_traffic *t = cfs_alloc (sizeof *t);
   struct cfs_entry_setup entry = { .settings = settings,
                                    .directory = &t->directory,
-                                   .to_control = to_control,
+                                   .to_control = send_to_control,
                                    .metrics = metrics,
-                                   .stop = stop_here,
+                                   .stop = on_stop_request,
                                    .ctx = t };
   struct cfs_gates_setup gates
       = { .settings = settings, .directory = &t->directory };
 
   t->settings = settings;
-  cfs_directory_init (&t->directory, settings->host, boot);
+  cfs_directory_init (&t->directory, settings->host, boot_id);
   apr_pool_create (&t->pool, NULL);
   t->loop = cfs_loop_new (t->pool);
-  if (!t->loop || !open_pair (t, zmq) || !open_net (t, zmq, error)
+  if (!t->loop || !open_channel (t, zmq) || !open_net (t, zmq, error)
       || !open_http (t, error))
     {
       cfs_traffic_free (t);
@@ -214,7 +214,7 @@
     cfs_http_pump (t->http);
   cfs_http_free (t->http);
   cfs_net_free (t->net);
-  cfs_thread_channel_free (t->pair);
+  cfs_thread_channel_free (t->channel);
   cfs_directory_end (&t->directory);
   g_free (t->certificate);
   g_free (t->key);
@@ -247,16 +247,16 @@
   free (t->last_report);
   t->last_report = data;
   t->last_len = len;
-  cfs_thread_channel_send (t->pair, &out);
+  cfs_thread_channel_send (t->channel, &out);
 }
 
 static void
-turn (struct cfs_traffic *t)
+run_once (struct cfs_traffic *t)
 {
   int64_t now;
 
   cfs_http_pump (t->http);
-  pump_pair (t);
+  receive_from_control (t);
   cfs_net_pump (t->net);
   cfs_loop_poll (t->loop, TICK_US);
   now = cfs_now ();
@@ -282,7 +282,7 @@
   cfs_log (CFS_NOTICE, PART, "serves on %s port %u", t->settings->address,
            t->settings->http_port);
   while (!*stop && !t->stop)
-    turn (t);
+    run_once (t);
   started = cfs_now ();
   t->drain = true;
   cfs_entry_drain (t->entry);
@@ -291,10 +291,10 @@
     {
       int64_t since = cfs_now () - started;
 
-      turn (t);
-      if (since > NOT_READY_US && cfs_gates_held (t->gates) == 0)
+      run_once (t);
+      if (since > NOT_READY_PERIOD_US && cfs_gates_held (t->gates) == 0)
         cfs_http_quiesce (t->http);
-      if (since > 2 * NOT_READY_US && is_drained (t))
+      if (since > 2 * NOT_READY_PERIOD_US && is_drained (t))
         break;
     }
   cfs_log (CFS_NOTICE, PART, "stopped with %zu calls open",
--- a/src/process/traffic.h
+++ b/src/process/traffic.h
@@ -23,7 +23,8 @@
  * Return: freed by cfs_traffic_free(), or NULL.
  */
 struct cfs_traffic *cfs_traffic_new (const struct cfs_settings *settings,
-                                     uint64_t boot, void *zmq, GError **error);
+                                     uint64_t boot_id, void *zmq,
+                                     GError **error);
 
 /** cfs_traffic_free() - answers what is open and closes everything */
 void cfs_traffic_free (struct cfs_traffic *traffic);
--- a/tests/unit/platform.c
+++ b/tests/unit/platform.c
@@ -274,7 +274,7 @@
   struct heard h = { g_string_new (NULL), 0 };
   apr_pool_t *pool;
   struct cfs_loop *loop;
-  struct line *l;
+  struct line_conn *l;
   int ends[2];
 
   apr_pool_create (&pool, NULL);
