--- a/src/cfs.c
+++ b/src/cfs.c
@@ -1,7 +1,7 @@
 /*
- * Shared helpers: names of codes, hashing, seeded random numbers and
- * checked allocation.  FNV-1a was chosen for placement because it is the
- * same on every machine and short keys mix well after one final round.
+ * Shared helpers: names of codes, hashing, seeded random numbers and checked
+ * allocation.  Placement uses FNV-1a because it gives the same result on every
+ * machine and short keys are well distributed after one final mixing step.
  */
 #include "cfs.h"
 
@@ -12,7 +12,7 @@
 #define FNV_OFFSET UINT64_C (1469598103934665603)
 #define FNV_PRIME UINT64_C (1099511628211)
 
-/* One row per code: its public name and HTTP status. */
+/* Public name and HTTP status of each code. */
 static const struct
 {
   const char *name;
@@ -107,7 +107,7 @@
 
   if (!p)
     {
-      fputs ("memory: out of memory\n", stderr);
+      fputs ("coltsfootstage: out of memory\n", stderr);
       abort ();
     }
   return p;
@@ -125,7 +125,7 @@
   p = realloc (*slot, *cap * size);
   if (!p)
     {
-      fputs ("memory: out of memory\n", stderr);
+      fputs ("coltsfootstage: out of memory\n", stderr);
       abort ();
     }
   *slot = p;
--- a/src/cfs.h
+++ b/src/cfs.h
@@ -1,9 +1,10 @@
 /**
- * DOC: Types that every module shares.
+ * DOC: Types and helpers shared by all modules.
  *
- * Time is an int64_t in microseconds of a monotonic clock and is always
- * passed in: no decision module reads a clock.  Results of calls are small
- * named values; typed refusals towards callers are enum cfs_code.
+ * Times are int64_t microseconds of a monotonic clock.  Modules that make
+ * decisions never read a clock; the current time is passed to them.  Functions
+ * inside the program return an enum cfs_status, while clients are sent an
+ * enum cfs_code.
  */
 #ifndef CFS_H
 #define CFS_H
@@ -18,13 +19,13 @@
 #define CFS_NEVER INT64_MAX
 
 /**
- * enum cfs_status - result of a call inside the program
- * @CFS_OK: the call did what it says
- * @CFS_AGAIN: not now; call again after a later event
+ * enum cfs_status - result of a function inside the program
+ * @CFS_OK: success
+ * @CFS_AGAIN: not possible now; try again after a later event
  * @CFS_BAD: the input is malformed; nothing was changed
- * @CFS_IO: a file or socket failed; the state in memory is unchanged
- * @CFS_CORRUPT: stored data is damaged in a way that must not be passed over
- * @CFS_FULL: a fixed bound was reached; nothing was changed
+ * @CFS_IO: a file or socket operation failed; the state in memory is unchanged
+ * @CFS_CORRUPT: stored data is damaged and must not be ignored
+ * @CFS_FULL: a fixed capacity is exhausted; nothing was changed
  * @CFS_NOT_LEADER: only the control leader can do this
  */
 enum cfs_status
@@ -40,7 +41,7 @@
 
 /**
  * enum cfs_outcome - what is known about the effect of a request
- * @CFS_NOT_RUN: certain that no target executed it with effect
+ * @CFS_NOT_RUN: certainly without effect on any target
  * @CFS_DONE: executed and, for a write, durable on the required instances
  * @CFS_UNKNOWN: it may or may not have taken effect
  */
@@ -52,7 +53,7 @@
 };
 
 /**
- * enum cfs_code - typed result of a request, sent to callers by name
+ * enum cfs_code - result code of a request, sent to clients by name
  */
 enum cfs_code
 {
@@ -79,7 +80,7 @@
 };
 
 /**
- * cfs_code_name() - stable name of a code, as callers see it
+ * cfs_code_name() - name of a code in the public API
  * @code: any value
  *
  * Return: a constant string, "internal" for values out of range.
@@ -87,65 +88,71 @@
 const char *cfs_code_name (enum cfs_code code);
 
 /**
- * cfs_code_http() - HTTP status that carries a code
+ * cfs_code_http() - HTTP status of a response with this code
  * @code: any value
  *
- * Return: a status between 200 and 599.
+ * Return: a status between 200 and 599, 500 for values out of range.
  */
 unsigned cfs_code_http (enum cfs_code code);
 
 /**
- * cfs_outcome_name() - "not_run", "done" or "unknown"
- * @outcome: any value
+ * cfs_outcome_name() - name of an outcome in the public API
+ * @outcome: any value; other values count as CFS_UNKNOWN
  *
  * Return: a constant string.
  */
 const char *cfs_outcome_name (enum cfs_outcome outcome);
 
 /**
- * cfs_copy() - copies a string into a fixed buffer, always terminated
- * @to: buffer
+ * cfs_copy() - copies a string into a fixed-size buffer
+ * @to: buffer, always NUL-terminated afterwards
  * @size: bytes in @to, at least 1
- * @from: string, NULL counts as empty
+ * @from: string, truncated if it does not fit; NULL counts as empty
  */
 void cfs_copy (char *to, size_t size, const char *from);
 
 /**
- * cfs_hash() - 64-bit FNV-1a with a final mix, for placement and tables
+ * cfs_hash() - 64-bit FNV-1a with a final mixing step
  * @data: bytes
  * @len: number of bytes
  * @seed: any value; different seeds give independent hashes
+ *
+ * Used for placement and hash tables.
  */
 uint64_t cfs_hash (const void *data, size_t len, uint64_t seed);
 
 /**
- * cfs_random() - next number of a seeded generator (xorshift64*)
- * @state: generator state, never 0
+ * cfs_random() - next number of a seeded xorshift64* generator
+ * @state: generator state, must not be 0
  */
 uint64_t cfs_random (uint64_t *state);
 
 /**
- * cfs_grow() - makes room for one more element in a growable array
+ * cfs_grow() - makes room for one more element in a dynamic array
  * @array: address of the array pointer
- * @cap: address of its capacity in elements
+ * @cap: address of its capacity in elements, doubled when exhausted
  * @count: elements in use
- * @size: bytes of an element
+ * @size: size of an element in bytes
  *
- * Ends the process when memory is exhausted.
+ * Aborts the process when memory is exhausted.
  */
 void cfs_grow (void *array, size_t *cap, size_t count, size_t size);
 
 /**
- * cfs_alloc() - zeroed memory; ends the process when memory is exhausted
+ * cfs_alloc() - allocates zeroed memory
  * @size: bytes
  *
+ * Aborts the process when memory is exhausted.
+ *
  * Return: memory that the caller frees with free().
  */
 void *cfs_alloc (size_t size);
 
 /**
- * cfs_strdup() - copy of a string; NULL counts as empty
- * @s: string
+ * cfs_strdup() - duplicates a string
+ * @s: string, NULL counts as empty
+ *
+ * Aborts the process when memory is exhausted.
  *
  * Return: memory that the caller frees with free().
  */
--- a/tests/unit/platform.c
+++ b/tests/unit/platform.c
@@ -87,17 +87,19 @@
 invalid_documents_are_refused (void **state)
 {
   (void)state;
-  expect_refused ("}]}", "", "the document is no JSON object");
+  expect_refused ("}]}", "", "the document is not a JSON object");
   expect_refused ("\"service\":\"db\"", "\"service\":\"dc\"",
-                  "a route names an unknown service");
+                  "routes[].service: no such service");
   expect_refused ("\"timeout_ms\":1200", "\"timeout_ms\":0",
-                  "a route's time-out is 0");
-  expect_refused ("\"timeout_ms\":1200,", "", "a route has no time-out");
+                  "routes[].timeout_ms: must not be 0");
+  expect_refused ("\"timeout_ms\":1200,", "",
+                  "routes[].timeout_ms: must be a number >= 0");
   expect_refused ("[\"k3\"]", "[\"k1\"]", "two teams share a key");
-  expect_refused ("bounded_staleness", "newest", "a route's kind is unknown");
+  expect_refused ("bounded_staleness", "newest",
+                  "routes[].type: missing or unknown");
   expect_refused ("\"version\":7", "\"version\":7.5",
-                  "the version is no whole number");
-  expect_refused ("\"version\":7,", "", "the version is no positive number");
+                  "version: must be a whole number");
+  expect_refused ("\"version\":7,", "", "version: must be a number >= 1");
   expect_refused ("\"public\":false}]",
                   "\"public\":false},{\"database\":\"sheet\",\"type\":"
                   "\"primary\",\"timeout_ms\":5,\"service\":\"db\"}]",
