--- a/src/process/core.c
+++ b/src/process/core.c
@@ -1,6 +1,6 @@
 /*
- * The replicated log, the leader's decisions and the HTTP side for operators
- * and targets, in one loop.
+ * One event loop runs the replicated log, the control leader's decisions and
+ * the HTTP API for operators and instances.
  */
 #include "core.h"
 
@@ -18,7 +18,7 @@
 
 #define PART "core"
 #define TICK_US (5 * CFS_US_PER_MS)
-/* A stopping member waits at most this long for its replacement. */
+/* Maximum time that a stopping voter waits for its replacement. */
 #define LEAVE_MAX_US (2500 * CFS_US_PER_MS)
 
 struct core
@@ -118,7 +118,7 @@
   cfs_control_tick (c->control, cfs_now ());
 }
 
-/* Hands the vote over to a member that waits for one, if there is any. */
+/* Passes this host's vote to a member without one, if there is any. */
 static void
 leave_group (struct core *c)
 {
@@ -138,12 +138,12 @@
   ok = start (&c, settings, error);
   if (ok)
     {
-      cfs_log (CFS_NOTICE, PART, "starts, control on %s",
+      cfs_log (CFS_NOTICE, PART, "started: control API on %s",
                settings->control_address);
       while (!stop_requested)
         run_once (&c);
       leave_group (&c);
-      cfs_log (CFS_NOTICE, PART, "stops");
+      cfs_log (CFS_NOTICE, PART, "stopped");
     }
   cleanup (&c);
   return ok;
--- a/src/process/front.c
+++ b/src/process/front.c
@@ -1,11 +1,11 @@
 /*
- * One loop drives callers, links to targets, readiness and the pair to the
- * control thread, so none of them needs a lock.
+ * One event loop serves callers, connections to targets, readiness checks and
+ * the channel to the control thread, so none of them needs a lock.
  *
- * A planned stop: the host is not ready at once, and goes on serving while
- * balancers take notice.  Sessions at rest are then closed, new ones are
- * refused, and transactions that are still open at half of the stop time
- * are rolled back.
+ * On a planned stop the host is not ready from the start, but goes on serving
+ * until load balancers have noticed.  Then idle sessions are closed and new
+ * ones refused; transactions still open after half of the stop time are rolled
+ * back.
  */
 #include "front.h"
 
@@ -25,20 +25,22 @@
 
 #define PART "front"
 #define TICK_US (4 * CFS_US_PER_MS)
-/* Time between reports of the teams' demand. */
+/* Interval of the reports of the teams' demand to the control leader. */
 #define DEMAND_INTERVAL_US (900 * CFS_US_PER_MS)
-/* The same while a team has demand here and no share. */
+/* Shorter interval while a team has demand here, but its share is not yet
+   settled. */
 #define DEMAND_URGENT_INTERVAL_US (100 * CFS_US_PER_MS)
-/* Teams in one ask for tokens. */
+/* Maximum number of teams in one request for tokens. */
 #define TOKEN_REQUEST_TEAMS_MAX 64
-/* Stages of a planned stop, in parts of the stop time. */
+/* Start of the stages of a planned stop, as fractions of the stop time: close
+   idle sessions, refuse new sessions, roll back open transactions. */
 #define CLOSE_IDLE_FRACTION 0.17
 #define REFUSE_NEW_FRACTION 0.42
 #define ROLLBACK_FRACTION 0.5
-/* A stopping host closes a session that rested for this time at first, and
-   any session at rest later. */
+/* Idle time after which a session is closed, until new sessions are refused;
+   from then on any idle session is closed. */
 #define IDLE_BEFORE_CLOSE_US (300 * CFS_US_PER_MS)
-/* Left at the end of the stop time for the process itself. */
+/* End of the stop time that is left for the exit of the process. */
 #define EXIT_RESERVE_US (700 * CFS_US_PER_MS)
 
 struct cfs_front
@@ -136,7 +138,8 @@
   free (f);
 }
 
-/* Shares end sooner than the lease of the configuration that covers them. */
+/* End of the lease on shares, which is not longer than the lease on the
+   configuration in the same reply. */
 static int64_t
 shares_until (const struct cfs_front *f, const Cfs__HeartbeatReply *r)
 {
@@ -189,7 +192,7 @@
     }
 }
 
-/* Whether a team asks here whose share is not settled yet. */
+/* Whether any team has demand here while its share is not yet settled. */
 static bool
 has_unsettled_demand (const struct cfs_front *f)
 {
@@ -246,8 +249,7 @@
     h->suspects[h->n_suspects++] = (char *)target;
 }
 
-/* Tells the control thread which targets are out of reach, when that
-   changes. */
+/* Reports the unreachable targets to the control thread when they change. */
 static void
 send_suspects (struct cfs_front *f, int64_t now)
 {
@@ -263,7 +265,7 @@
     {
       hash = cfs_hash (list[i], strlen (list[i]), hash);
       if (f->suspects_hash == 1)
-        cfs_log (CFS_NOTICE, PART, "target=%s is out of reach", list[i]);
+        cfs_log (CFS_NOTICE, PART, "target=%s is unreachable", list[i]);
     }
   if (hash == f->suspects_hash)
     return;
@@ -273,7 +275,7 @@
   cfs_thread_channel_send (f->channel, &out);
 }
 
-/* Asks for tokens where operations wait for them. */
+/* Requests tokens for the teams that have operations waiting for them. */
 static void
 send_token_request (struct cfs_front *f, int64_t now)
 {
@@ -337,7 +339,7 @@
   log_readiness (f);
 }
 
-/* One turn of a planned stop.  Returns whether nothing is left to do. */
+/* One step of a planned stop.  Returns whether the stop is complete. */
 static bool
 drain_step (struct cfs_front *f, double elapsed_fraction)
 {
@@ -372,11 +374,11 @@
 void
 cfs_front_run (struct cfs_front *f, const volatile bool *stop)
 {
-  cfs_log (CFS_NOTICE, PART, "starts, sessions on %s, ready on %s",
+  cfs_log (CFS_NOTICE, PART, "started: sessions on %s, readiness on %s",
            f->settings->session_address, f->settings->ready_address);
   while (!*stop)
     run_once (f);
-  cfs_log (CFS_NOTICE, PART, "stops with sessions=%zu",
+  cfs_log (CFS_NOTICE, PART, "stopping with sessions=%zu",
            cfs_sessions_count (f->sessions));
   drain (f);
   cfs_log (CFS_NOTICE, PART, "stopped with sessions=%zu",
--- a/src/process/log.c
+++ b/src/process/log.c
@@ -1,6 +1,7 @@
 /*
- * Each line goes out by one write, so threads do not mix lines.  A token
- * bucket bounds their number; a part of it is kept for what matters most.
+ * Each line is written with a single write(), so lines of different threads do
+ * not mix.  A token bucket limits their rate; part of its burst is reserved
+ * for lines more important than INFO.
  */
 #include "log.h"
 
@@ -15,10 +16,10 @@
 #include <unistd.h>
 
 #define LINE_MAX_BYTES 1024
-/* Lines a second in the long run, and at once. */
+/* Sustained rate and burst of lines. */
 #define LINES_PER_S 200.0
 #define LINES_BURST 400.0
-/* Part of the burst that lines of level INFO may not use. */
+/* Part of the burst that is not available to lines of level INFO. */
 #define LINES_RESERVED 200.0
 #define NS_PER_S 1e9
 
@@ -49,7 +50,7 @@
   fcntl (STDOUT_FILENO, F_SETFL, fcntl (STDOUT_FILENO, F_GETFL) | O_NONBLOCK);
 }
 
-/* Whether the line may be written; to be called with the lock held. */
+/* Whether a line may be written.  The lock must be held. */
 static bool
 take_token (enum cfs_level level)
 {
--- a/src/process/log.h
+++ b/src/process/log.h
@@ -1,10 +1,10 @@
 /**
  * DOC: Structured log lines on standard output.
  *
- * A line is "t=TIME host=NAME level=LEVEL part=PART" and a message of short
- * words and key=value fields.  Lines are bounded in number and in size, and
- * a reader that does not keep up loses lines instead of holding the process
- * up; lost lines are counted and told.
+ * A line is "t=TIME host=NAME level=LEVEL part=PART", followed by a message of
+ * plain words and key=value fields.  Lines are limited in rate and in length.
+ * Writing never blocks: when the reader is too slow, lines are lost, and their
+ * number is counted and logged.
  */
 #ifndef CFS_LOG_H
 #define CFS_LOG_H
@@ -13,7 +13,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** enum cfs_level - severity, with the numbers of syslog */
+/** enum cfs_level - severity, numbered as in syslog */
 enum cfs_level
 {
   CFS_ERR = 3,
@@ -22,14 +22,18 @@
   CFS_INFO = 6
 };
 
-/** cfs_log_open() - names this host in every line; lines above @level drop */
+/**
+ * cfs_log_open() - configures the log
+ * @host: name of this host, written in each line
+ * @level: lines less severe than this are dropped
+ */
 void cfs_log_open (const char *host, enum cfs_level level);
 
 /**
  * cfs_log() - writes one line; may be called by any thread
  * @level: severity
- * @part: fixed prefix of the part that speaks
- * @format: as of printf(); without secrets
+ * @part: constant name of the module that logs
+ * @format: as of printf(); the line must not contain secrets
  */
 void cfs_log (enum cfs_level level, const char *part, const char *format, ...)
     __attribute__ ((format (printf, 3, 4)));
--- a/src/process/loop.c
+++ b/src/process/loop.c
@@ -1,7 +1,7 @@
 /*
- * Watches are rows of a table and the pollset carries their handle with a
- * generation, so an event for a watch that was removed in the same round is
- * recognised and dropped.
+ * Watches are entries of a fixed array.  The pollset stores the index and the
+ * generation of a watch, so that an event for a watch that was removed or
+ * replaced in the same round is recognized and dropped.
  */
 #include "loop.h"
 
@@ -108,7 +108,7 @@
   return h;
 }
 
-/* The owner receives by itself; the event only ends the wait. */
+/* The event only ends the wait; the owner of the socket receives by itself. */
 static void
 ignore_event (void *ctx, int events)
 {
--- a/src/process/loop.h
+++ b/src/process/loop.h
@@ -1,5 +1,5 @@
 /**
- * DOC: Event loop of one thread: descriptors by apr_pollset, and the clock.
+ * DOC: Event loop of one thread, based on apr_pollset, and the clocks.
  */
 #ifndef CFS_LOOP_H
 #define CFS_LOOP_H
@@ -13,26 +13,36 @@
 
 struct cfs_loop;
 
-/** cfs_now() - monotonic time that also counts while the machine sleeps */
+/**
+ * cfs_now() - monotonic time in microseconds
+ *
+ * It also advances while the machine is suspended.
+ */
 int64_t cfs_now (void);
 
-/** cfs_wall_clock_ms() - milliseconds since 1970, for people only */
+/**
+ * cfs_wall_clock_ms() - wall clock time in milliseconds since 1970
+ *
+ * Only for display, never for decisions.
+ */
 uint64_t cfs_wall_clock_ms (void);
 
 /**
- * cfs_loop_new() - loop without descriptors
- * @parent: pool that owns it; the loop ends with the pool
+ * cfs_loop_new() - creates a loop without watches
+ * @parent: memory pool that owns the loop and ends it
  *
- * Return: the loop, or NULL when the system refuses one.
+ * Return: the loop, or NULL when the system cannot provide one.
  */
 struct cfs_loop *cfs_loop_new (apr_pool_t *parent);
 
 /**
- * cfs_loop_add() - watches a descriptor
+ * cfs_loop_add() - watches a file descriptor
  * @loop: loop
  * @fd: descriptor, owned by the caller
- * @events: LOOP_READ and LOOP_WRITE
- * @ready: called with @ctx and the events seen; may add and remove watches
+ * @events: LOOP_READ, LOOP_WRITE or both
+ * @ready: called with @ctx and the events that occurred; may add and remove
+ * watches
+ * @ctx: first argument of @ready
  *
  * Return: handle above 0, or a negative enum cfs_status.
  */
@@ -40,20 +50,25 @@
                   void (*ready) (void *ctx, int events), void *ctx);
 
 /**
- * cfs_loop_add_zmq() - lets a ZeroMQ socket end the wait
+ * cfs_loop_add_zmq() - makes activity of a ZeroMQ socket end the wait
  *
- * ZeroMQ signals edges: the owner must receive until nothing is left before
- * each wait.  Return: as cfs_loop_add().
+ * ZeroMQ sockets are edge-triggered: the owner must receive until no message
+ * is left before each wait.
+ * Return: as cfs_loop_add().
  */
 int cfs_loop_add_zmq (struct cfs_loop *loop, void *socket);
 
-/** cfs_loop_change() - watches for other events */
+/** cfs_loop_change() - changes the events that are watched for */
 void cfs_loop_change (struct cfs_loop *loop, int handle, int events);
 
-/** cfs_loop_remove() - ends a watch; handle 0 is passed over */
+/** cfs_loop_remove() - removes a watch; handle 0 is ignored */
 void cfs_loop_remove (struct cfs_loop *loop, int handle);
 
-/** cfs_loop_poll() - waits at most @timeout_us and calls what is ready */
+/**
+ * cfs_loop_poll() - waits for events and calls their handlers
+ * @loop: loop
+ * @timeout_us: maximum time to wait
+ */
 void cfs_loop_poll (struct cfs_loop *loop, int64_t timeout_us);
 
 #endif
--- a/src/process/message_codec.c
+++ b/src/process/message_codec.c
@@ -1,6 +1,7 @@
 /*
- * A compressed message is a message of its own kind that carries the other
- * one, so a reader tells them apart by the schema alone.  It never nests.
+ * A compressed message is a message of its own type that contains the original
+ * one, so a receiver tells them apart by the schema alone.  Compressed
+ * messages are never nested.
  */
 #include "message_codec.h"
 
@@ -20,7 +21,8 @@
   return data;
 }
 
-/* The bytes of a message that carries @plain, or NULL when it is no gain. */
+/* Encodes a message that holds @plain in compressed form.  Returns NULL when
+   that is not smaller. */
 static uint8_t *
 encode_deflated (const uint8_t *plain, size_t plain_len, size_t *len)
 {
--- a/src/process/net.c
+++ b/src/process/net.c
@@ -1,8 +1,8 @@
 /*
- * DEALER sockets with ZMQ_IMMEDIATE give the property that everything above
- * builds on: a send either reaches a live connection or fails at once.  A
- * single ROUTER for all peers was ruled out, because with immediate
- * connections it cannot name more than one peer reliably.
+ * DEALER sockets with ZMQ_IMMEDIATE give the property that all users of this
+ * module rely on: a message is either sent on an established connection or
+ * refused at once.  A single ROUTER socket for all peers does not work: with
+ * ZMQ_IMMEDIATE it cannot address more than one peer reliably.
  */
 #include "net.h"
 
@@ -257,8 +257,9 @@
       continue;
 }
 
-/* One question of the protocol "ZAP" (ZeroMQ RFC 27): frames version,
-   request id, domain, address, identity, mechanism, key. */
+/* Answers one request of ZAP, the ZeroMQ Authentication Protocol (RFC 27),
+   with the frames version, request id, domain, address, identity, mechanism,
+   key. */
 static void
 answer_zap_request (struct cfs_zap_handler *h, void *zap)
 {
--- a/src/process/net.h
+++ b/src/process/net.h
@@ -1,10 +1,10 @@
 /**
- * DOC: Messages between hosts over ZeroMQ with CURVE.
+ * DOC: Messages between hosts over ZeroMQ with CURVE encryption.
  *
- * One socket takes messages in; one socket per peer sends.  A message is
- * either handed to a live connection or refused at once, never queued for a
- * peer that is away, so a refused send means that nobody will see it.  A
- * peer without the fleet's key is not let in.
+ * One socket receives messages; one socket for each peer sends them.  A
+ * message is either sent on an established connection or refused at once,
+ * never queued for a disconnected peer, so a refused message is certain not to
+ * arrive. Peers without the fleet's key are rejected.
  */
 #ifndef CFS_NET_H
 #define CFS_NET_H
@@ -15,7 +15,7 @@
 
 #define NET_IDENTITY_MAX 16
 
-/** struct cfs_origin - where a message came from, to reply to it */
+/** struct cfs_origin - sender of a message, as needed for a reply */
 struct cfs_origin
 {
   unsigned char identity[NET_IDENTITY_MAX];
@@ -27,12 +27,13 @@
 /**
  * struct cfs_net_setup - parameters of cfs_net_new()
  * @zmq: ZeroMQ context, owned by the caller
- * @address: IP number to bind
- * @port: port to bind, 0 to take no messages in
- * @public_key: CURVE key of the fleet, Z85, or "" for a network that is
- * trusted: then messages are neither encrypted nor authenticated
- * @secret_key: its secret part
- * @receive: handles a message; @from is NULL for replies to what was sent
+ * @address: IP address to bind
+ * @port: port to bind, 0 to receive replies only
+ * @public_key: CURVE key of the fleet in Z85 encoding, or "" on a trusted
+ * network: messages are then neither encrypted nor authenticated
+ * @secret_key: secret key that belongs to @public_key
+ * @receive: handles a message; @from is NULL for replies to sent messages
+ * @ctx: first argument of @receive
  */
 struct cfs_net_setup
 {
@@ -47,47 +48,51 @@
 };
 
 /**
- * cfs_net_new() - opens the sockets
+ * cfs_net_new() - opens the receiving socket
+ * @setup: copied; what it points to must outlive the result
+ * @loop: event loop of the calling thread
  *
  * Return: freed by cfs_net_free(), or NULL when the port cannot be bound.
  */
 struct cfs_net *cfs_net_new (const struct cfs_net_setup *setup,
                              struct cfs_loop *loop);
 
-/** cfs_net_free() - closes all sockets at once */
+/** cfs_net_free() - closes all sockets at once, unsent messages are dropped */
 void cfs_net_free (struct cfs_net *net);
 
 /**
- * cfs_net_send() - sends to a peer
+ * cfs_net_send() - sends a message to a peer, connecting to it if necessary
  *
- * Return: CFS_OK when handed to a live connection; CFS_AGAIN when there is
- * none, and then the message was not sent.
+ * Return: CFS_OK when passed to an established connection; CFS_AGAIN when
+ * there is none, and then the message was not sent.
  */
 int cfs_net_send (struct cfs_net *net, const char *address, uint32_t port,
                   const Cfs__Peer *msg);
 
-/** cfs_net_reply() - replies to the origin of a message; may be lost */
+/** cfs_net_reply() - replies to the sender of a message; may be lost */
 void cfs_net_reply (struct cfs_net *net, const struct cfs_origin *to,
                     const Cfs__Peer *msg);
 
 /**
- * cfs_net_pump() - receives until nothing is left
+ * cfs_net_pump() - receives and handles all messages that have arrived
  *
- * To be called before each wait of the loop, because ZeroMQ signals edges.
+ * To be called before each wait of the loop, because ZeroMQ sockets are
+ * edge-triggered.
  */
 void cfs_net_pump (struct cfs_net *net);
 
 /**
- * cfs_zap_handler_new() - answers ZeroMQ's question which peers to let in
- * @zmq: context
- * @public_key: the only key allowed
+ * cfs_zap_handler_new() - starts the thread that authenticates peers
+ * @zmq: ZeroMQ context
+ * @public_key: the only CURVE key that is accepted
  *
- * Return: opaque handler, ended by cfs_zap_handler_free(), or NULL.
+ * Answers the requests of ZAP, the ZeroMQ Authentication Protocol.
+ * Return: freed by cfs_zap_handler_free(), or NULL.
  */
 struct cfs_zap_handler *cfs_zap_handler_new (void *zmq,
                                              const char *public_key);
 
-/** cfs_zap_handler_free() - stops the handler's thread */
+/** cfs_zap_handler_free() - stops the thread; NULL is ignored */
 void cfs_zap_handler_free (struct cfs_zap_handler *handler);
 
 #endif
--- a/src/process/node.c
+++ b/src/process/node.c
@@ -1,7 +1,8 @@
 /*
- * The control thread runs the agent and, on a control host, the replicated
- * log; it never waits for traffic, so a busy host keeps its lease.  The main
- * thread carries traffic.  They exchange packed messages over one pair.
+ * The control thread keeps the connection to the control leader and, on a
+ * control host, runs the replicated log.  It never waits for traffic, so a
+ * busy host keeps its lease.  The main thread handles traffic.  The two
+ * exchange serialized messages over one thread channel.
  */
 #include "node.h"
 
@@ -127,7 +128,8 @@
 {
   if (!cfs_settings_is_control (n->settings))
     {
-      cfs_log (CFS_NOTICE, PART, "no disk is used: nothing is kept here");
+      cfs_log (CFS_NOTICE, PART,
+               "not a control host: nothing is stored on disk");
       return true;
     }
   n->control = cfs_control_new (n->settings, n->zmq, n->loop, error);
@@ -145,7 +147,8 @@
   apr_pool_destroy (n->pool);
 }
 
-/* Runs the control thread while the calling thread carries traffic. */
+/* Runs the control thread for as long as @run handles traffic in the calling
+   thread. */
 static bool
 run_with_control_thread (struct node *n, void (*run) (void *traffic),
                          void *traffic)
--- a/src/process/node.h
+++ b/src/process/node.h
@@ -1,5 +1,5 @@
 /**
- * DOC: A running host: its control thread and its traffic thread.
+ * DOC: A host with two threads, one for control and one for traffic.
  */
 #ifndef CFS_NODE_H
 #define CFS_NODE_H
@@ -7,11 +7,11 @@
 #include "settings.h"
 
 /**
- * cfs_node_serve() - runs a host until SIGTERM or SIGINT
- * @settings: settings
- * @error: set when it cannot start
+ * cfs_node_serve() - runs the host until SIGTERM or SIGINT
+ * @settings: settings of the host
+ * @error: set when the host cannot start
  *
- * Return: whether it started and ended in order.
+ * Return: whether it started and shut down cleanly.
  */
 bool cfs_node_serve (const struct cfs_settings *settings, GError **error);
 
--- a/src/process/settings.c
+++ b/src/process/settings.c
@@ -1,6 +1,6 @@
 /*
- * The table of fields is the whole description of the file: names, types,
- * ranges and units.  Cross checks between fields follow it.
+ * The tables of fields fully describe the settings file: names, types, ranges
+ * and units.  Checks that involve several fields follow after the tables.
  */
 #include "settings.h"
 
@@ -14,9 +14,8 @@
 #define MAX_BODY_DEFAULT_BYTES 1048576
 #define STOP_DEFAULT_SECONDS 20
 #define REVOKE_DEFAULT_MS 5000
-/* Part of the time in which a withdrawn key must stop working for which a
-   host acts on a configuration without news; the rest covers what is on its
-   way. */
+/* Lease on a configuration as a fraction of revoke_ms, the time within which a
+   withdrawn key must stop working.  The rest covers messages in transit. */
 #define DOCUMENT_LEASE_FRACTION 0.6
 
 #define END_OF_FIELDS                                                         \
@@ -78,7 +77,7 @@
         { "revoke_ms", FIELD_INTEGER, 100, 600000, "ms", false, NULL },
         END_OF_FIELDS };
 
-/* Fields that a host needs which serves HTTP calls. */
+/* Fields that are required on a host that serves HTTP requests. */
 static const char *const http_service_fields[]
     = { "http_port", "traffic_port",      "curve", "operator_key_hash",
         "control",   "announce_key_hash", "target" };
@@ -115,8 +114,7 @@
 
   if (count != 1 && count != 3 && count != 5 && count != 7)
     return fail (error, file,
-                 "control: found another number of hosts, allowed is 1, 3, 5 "
-                 "or 7");
+                 "control: the number of control hosts must be 1, 3, 5 or 7");
   cJSON_ArrayForEach (item, list)
   {
     struct cfs_peer *p = &s->control[s->control_count++];
@@ -128,8 +126,8 @@
   }
   if (cfs_settings_is_control (s) && (!s->data_folder || !s->control_port))
     return fail (error, file,
-                 "data_folder and control_port: found nothing, a control host "
-                 "needs both");
+                 "data_folder, control_port: both are required on a control "
+                 "host");
   return true;
 }
 
@@ -141,15 +139,15 @@
     if (!cJSON_GetObjectItemCaseSensitive (doc, http_service_fields[i]))
       {
         g_set_error (error, CFS_SCHEMA_ERROR, 0,
-                     "%s: %s: found nothing, it is needed without seeds", file,
+                     "%s: %s: required when seeds is not set", file,
                      http_service_fields[i]);
         return false;
       }
   return true;
 }
 
-/* A seed is "IP:PORT"; only the number is used, because the port between
-   hosts is the same everywhere. */
+/* Adds the control host of a seed "IP:PORT".  Only the IP address is used,
+   because hosts use the same port among themselves everywhere. */
 static bool
 add_seed (struct cfs_settings *s, const char *text)
 {
@@ -174,16 +172,16 @@
   const cJSON *item;
 
   if (!s->control_port)
-    return fail (error, file, "control_port: found nothing, seeds need it");
+    return fail (error, file, "control_port: required when seeds is set");
   cJSON_ArrayForEach (item, list)
   {
     if (!add_seed (s, cJSON_GetStringValue (item)))
       return fail (error, file,
-                   "seeds: allowed is a list of 1 to 7 texts \"IP:PORT\"");
+                   "seeds: must be an array of 1 to 7 strings \"IP:PORT\"");
   }
   if (!cJSON_IsArray (list) || s->control_count == 0)
     return fail (error, file,
-                 "seeds: allowed is a list of 1 to 7 texts \"IP:PORT\"");
+                 "seeds: must be an array of 1 to 7 strings \"IP:PORT\"");
   return true;
 }
 
@@ -200,7 +198,7 @@
 
     if (!cJSON_IsString (item) || s->zone_count == SETTINGS_ZONES_MAX)
       return fail (error, file,
-                   "zones: allowed are up to 64 zones, each with a region");
+                   "zones: must map at most 64 zone names to region names");
     cfs_copy (z->name, sizeof z->name, item->string);
     cfs_copy (z->region, sizeof z->region, item->valuestring);
     s->zone_count++;
@@ -228,11 +226,10 @@
                   * DOCUMENT_LEASE_FRACTION * CFS_US_PER_MS);
   if (!*s->session_address && !*s->control_address)
     return fail (error, file,
-                 "session_address, control_address: found nothing, a host "
-                 "with seeds needs one of them");
+                 "session_address, control_address: at least one is required "
+                 "when seeds is set");
   if (*s->control_address && !s->data_folder)
-    return fail (error, file,
-                 "data_folder: found nothing, a control host needs it");
+    return fail (error, file, "data_folder: required on a control host");
   return load_seeds (s, doc, file, error) && load_zones (s, doc, file, error);
 }
 
--- a/src/process/settings.h
+++ b/src/process/settings.h
@@ -1,5 +1,5 @@
 /**
- * DOC: Settings of one host, from one JSON file.
+ * DOC: Settings of one host, read from a JSON file.
  */
 #ifndef CFS_SETTINGS_H
 #define CFS_SETTINGS_H
@@ -13,7 +13,7 @@
 #define SETTINGS_ZONES_MAX 64
 #define CURVE_KEY_CHARS 40
 
-/** struct cfs_peer - a control host as the settings name it */
+/** struct cfs_peer - a control host as listed in the settings */
 struct cfs_peer
 {
   char host[CFS_NAME_MAX];
@@ -21,7 +21,7 @@
   uint32_t port;
 };
 
-/** struct cfs_zone - a zone and the region that it is in */
+/** struct cfs_zone - a zone and the region that it belongs to */
 struct cfs_zone
 {
   char name[CFS_NAME_MAX];
@@ -29,13 +29,18 @@
 };
 
 /**
- * struct cfs_settings - all fields, checked
- *
- * @peer_port: where other control hosts take messages, if a forwarder stands
- * between; else as @control_port
- *
- * The fields from @uses_seeds on are set where sessions are served: addresses
- * are "IP:PORT", and control hosts are named by their IP numbers.
+ * struct cfs_settings - checked settings of a host
+ * @peer_port: port at which messages reach other control hosts, if a forwarder
+ * listens in front of them; else the same as @control_port
+ * @operator_hash: hash of the operators' key
+ * @announce_hash: hash of the key with which targets announce themselves
+ * @control: control hosts, or the seeds
+ * @uses_seeds: control hosts are found through seeds; the fields below are set
+ * only then, addresses are "IP:PORT", and control hosts are named by their IP
+ * addresses
+ * @first_start: this host may form the control group
+ * @document_lease_us: time for which a host may act on a configuration that
+ * the control leader has not confirmed again
  */
 struct cfs_settings
 {
@@ -74,38 +79,39 @@
 
 /**
  * cfs_settings_load() - reads and checks a settings file
- * @path: file
- * @error: set with file, path of the field, found and allowed
+ * @path: file name
+ * @error: set to the file, the field, and what is wrong with it
  *
- * Return: settings freed by cfs_settings_free(), or NULL.
+ * Return: freed by cfs_settings_free(), or NULL.
  */
 struct cfs_settings *cfs_settings_load (const char *path, GError **error);
 
 /**
- * cfs_settings_parse() - the same from text
+ * cfs_settings_parse() - like cfs_settings_load(), from a text
  * @text: JSON
- * @file: name for messages
+ * @file: file name for error messages
  */
 struct cfs_settings *cfs_settings_parse (const char *text, const char *file,
                                          GError **error);
 
-/** cfs_settings_free() - wipes secrets and frees the settings */
+/** cfs_settings_free() - wipes and frees the settings; NULL is ignored */
 void cfs_settings_free (struct cfs_settings *settings);
 
-/** cfs_settings_is_control() - whether this host is one of the control group
- */
+/** cfs_settings_is_control() - whether this host is a control host */
 bool cfs_settings_is_control (const struct cfs_settings *settings);
 
-/** cfs_settings_region() - region of a zone, or the zone's name itself */
+/** cfs_settings_region() - region of a zone, the zone's name if it has none */
 const char *cfs_settings_region (const struct cfs_settings *settings,
                                  const char *zone);
 
-/** cfs_settings_serves_sessions() - whether callers hold sessions here */
+/** cfs_settings_serves_sessions() - whether this host serves sessions */
 bool cfs_settings_serves_sessions (const struct cfs_settings *settings);
 
 /**
- * cfs_split_address() - cuts "IP:PORT"
- * @host: written
+ * cfs_split_address() - splits "IP:PORT"
+ * @text: address
+ * @host: set to the part before the colon
+ * @size: bytes in @host
  *
  * Return: the port, 0 when the text is malformed.
  */
--- a/src/process/thread_channel.c
+++ b/src/process/thread_channel.c
@@ -1,6 +1,6 @@
 /*
- * Messages are packed although both ends share memory: so neither thread
- * ever holds a pointer into the other's state.
+ * Messages are serialized although both threads share memory, so neither
+ * thread ever holds a pointer into the state of the other.
  */
 #include "thread_channel.h"
 
--- a/src/process/traffic.c
+++ b/src/process/traffic.c
@@ -1,6 +1,6 @@
 /*
- * One loop drives HTTP, the messages of other hosts, the connections to
- * targets and the pair to the control thread, so none of them needs a lock.
+ * One event loop serves HTTP, messages from other hosts, connections to
+ * targets and the channel to the control thread, so none of them needs a lock.
  */
 #include "traffic.h"
 
@@ -19,7 +19,7 @@
 
 #define PART "traffic"
 #define TICK_US (4 * CFS_US_PER_MS)
-/* Time for balancers to see that a stopping host is not ready. */
+/* Time that load balancers get to notice that a stopping host is not ready. */
 #define NOT_READY_PERIOD_US (500 * CFS_US_PER_MS)
 
 struct cfs_traffic
@@ -223,7 +223,8 @@
   free (t);
 }
 
-/* Tells the control thread what the heartbeats must say, when it changed. */
+/* Sends the content of the next heartbeats to the control thread when it
+   changed. */
 static void
 send_report (struct cfs_traffic *t, int64_t now)
 {
@@ -265,7 +266,7 @@
   send_report (t, now);
 }
 
-/* Whether a stopping host has nothing left to do. */
+/* Whether a stopping host has no gates and no open requests left. */
 static bool
 is_drained (const struct cfs_traffic *t)
 {
@@ -279,14 +280,15 @@
   int64_t started;
   int64_t limit = (int64_t)t->settings->stop_seconds * CFS_US_PER_S;
 
-  cfs_log (CFS_NOTICE, PART, "serves on %s port %u", t->settings->address,
+  cfs_log (CFS_NOTICE, PART, "listening on %s port %u", t->settings->address,
            t->settings->http_port);
   while (!*stop && !t->stop)
     run_once (t);
   started = cfs_now ();
   t->drain = true;
   cfs_entry_drain (t->entry);
-  cfs_log (CFS_NOTICE, PART, "stops: hands over and finishes what runs");
+  cfs_log (CFS_NOTICE, PART,
+           "stopping: handing over gates and finishing open requests");
   while (cfs_now () - started < limit)
     {
       int64_t since = cfs_now () - started;
@@ -297,6 +299,6 @@
       if (since > 2 * NOT_READY_PERIOD_US && is_drained (t))
         break;
     }
-  cfs_log (CFS_NOTICE, PART, "stopped with %zu calls open",
+  cfs_log (CFS_NOTICE, PART, "stopped with %zu open requests",
            cfs_entry_open (t->entry));
 }
--- a/src/process/traffic.h
+++ b/src/process/traffic.h
@@ -1,5 +1,6 @@
 /**
- * DOC: The traffic thread: HTTP, entry, gates and limiters of a host.
+ * DOC: The traffic thread of a host that serves HTTP requests: HTTP server,
+ * entry, gates and limiters.
  */
 #ifndef CFS_TRAFFIC_H
 #define CFS_TRAFFIC_H
@@ -8,17 +9,17 @@
 
 #include <glib.h>
 
-/* Name of the in-process pair between control and traffic thread. */
+/* Endpoint of the channel between the control and the traffic thread. */
 #define TRAFFIC_ENDPOINT "inproc://coltsfootstage-traffic"
 
 struct cfs_traffic;
 
 /**
  * cfs_traffic_new() - opens the ports
- * @settings: must outlive it
- * @boot: number of this run of the process
- * @zmq: ZeroMQ context, in which TRAFFIC_ENDPOINT is already bound
- * @error: set when a port or certificate cannot be used
+ * @settings: must outlive the result
+ * @boot_id: random number that identifies this run of the process
+ * @zmq: ZeroMQ context in which TRAFFIC_ENDPOINT is already bound
+ * @error: set when a port or a certificate cannot be used
  *
  * Return: freed by cfs_traffic_free(), or NULL.
  */
@@ -26,16 +27,20 @@
                                      uint64_t boot_id, void *zmq,
                                      GError **error);
 
-/** cfs_traffic_free() - answers what is open and closes everything */
+/**
+ * cfs_traffic_free() - responds to open requests and closes all connections
+ *
+ * NULL is ignored.
+ */
 void cfs_traffic_free (struct cfs_traffic *traffic);
 
 /**
- * cfs_traffic_run() - serves until told to stop
+ * cfs_traffic_run() - serves until @stop is set or an operator stops the host
  * @traffic: traffic
  * @stop: set to true by a signal handler
  *
- * After @stop the host says not ready, hands its gates over, finishes what
- * runs within the time that the settings give, and returns.
+ * The host then reports itself as not ready, hands its gates over, finishes
+ * open requests within the stop time of the settings, and returns.
  */
 void cfs_traffic_run (struct cfs_traffic *traffic, const volatile bool *stop);
 
