--- a/src/command/client.c
+++ b/src/command/client.c
@@ -1,5 +1,6 @@
 /*
- * One easy handle a request: commands are short and rare.
+ * Each request uses a libcurl handle of its own, because commands send only a
+ * few requests.
  */
 #include "client.h"
 
--- a/src/command/client.h
+++ b/src/command/client.h
@@ -1,5 +1,5 @@
 /**
- * DOC: HTTP client of the command line, by libcurl.
+ * DOC: HTTP client of the command line tools, based on libcurl.
  */
 #ifndef CFS_CLIENT_H
 #define CFS_CLIENT_H
@@ -8,7 +8,12 @@
 
 #include <glib.h>
 
-/** struct cfs_client - where a command talks to */
+/**
+ * struct cfs_client - server of a command
+ * @url: base URL
+ * @key: bearer token, or NULL for none
+ * @timeout_ms: time-out of a request
+ */
 struct cfs_client
 {
   const char *url;
@@ -16,7 +21,12 @@
   long timeout_ms;
 };
 
-/** struct cfs_reply - answer, owned by the caller */
+/**
+ * struct cfs_client_response - response to a request
+ * @status: HTTP status
+ * @body: text, owned by the response
+ * @version: number in the ETag header, 0 when there is none
+ */
 struct cfs_client_response
 {
   long status;
@@ -25,21 +35,23 @@
 };
 
 /**
- * cfs_client_send() - one request
- * @client: where to
- * @method: such as "PATCH"
- * @path: path below the URL
- * @headers: list of "Name: value", ended by NULL, or NULL
+ * cfs_client_send() - sends a request and waits for the response
+ * @client: server
+ * @method: HTTP method
+ * @path: path below the base URL
+ * @headers: strings "Name: value", terminated by NULL; or NULL
  * @body: text or NULL
- * @reply: written; freed by cfs_reply_end()
- * @error: set when no answer came
+ * @response: written; freed by cfs_client_response_clear()
+ * @error: set when no response was received
+ *
+ * Return: whether a response was received.
  */
 bool cfs_client_send (const struct cfs_client *client, const char *method,
                       const char *path, const char *const *headers,
                       const char *body, struct cfs_client_response *response,
                       GError **error);
 
-/** cfs_reply_end() - frees the body */
+/** cfs_client_response_clear() - frees the body */
 void cfs_client_response_clear (struct cfs_client_response *response);
 
 #endif
--- a/src/command/command.h
+++ b/src/command/command.h
@@ -8,10 +8,10 @@
 
 /**
  * enum cfs_exit - exit statuses
- * @EXIT_OK: done
- * @EXIT_FAILED: refused or not reachable
- * @EXIT_USAGE: bad arguments or settings
- * @EXIT_STALE: the version that a patch names is not the present one
+ * @EXIT_OK: success
+ * @EXIT_FAILED: the request was rejected, or the server is unreachable
+ * @EXIT_USAGE: invalid arguments or settings
+ * @EXIT_STALE: a patch is not against the current version
  */
 enum cfs_exit
 {
@@ -27,10 +27,10 @@
 /** command_check() - checks a settings file */
 int command_check (int argc, char **argv);
 
-/** command_init() - prepares the data folder of a first control host */
+/** command_init() - creates the data folder of an initial control host */
 int command_init (int argc, char **argv);
 
-/** command_fleetkey() - makes the keys that settings need */
+/** command_fleetkey() - generates the keys for settings files */
 int command_fleetkey (int argc, char **argv);
 
 /** command_show() - prints the configuration */
@@ -39,10 +39,10 @@
 /** command_patch() - submits a merge patch */
 int command_patch (int argc, char **argv);
 
-/** command_diff() - prints what a merge patch would change */
+/** command_diff() - checks a merge patch and prints its changes */
 int command_diff (int argc, char **argv);
 
-/** command_key() - makes and withdraws access keys */
+/** command_key() - creates and withdraws access keys */
 int command_key (int argc, char **argv);
 
 /** command_sheet() - sets and removes sheets */
@@ -57,10 +57,10 @@
 /** command_status() - prints the state of the fleet */
 int command_status (int argc, char **argv);
 
-/** command_drain() - stops one host in order */
+/** command_drain() - shuts down a host gracefully */
 int command_drain (int argc, char **argv);
 
-/** command_load() - sends seeded load and reports what came back */
+/** command_load() - generates load and reports the results */
 int command_load (int argc, char **argv);
 
 #endif
--- a/src/command/host.c
+++ b/src/command/host.c
@@ -1,5 +1,5 @@
 /*
- * Commands that concern one host's own files: serve, check, init, fleetkey.
+ * Commands that run or prepare a single host: serve, check, init and fleetkey.
  */
 #include "command.h"
 
@@ -17,7 +17,7 @@
 #include <zmq.h>
 
 #define SECRET_BYTES 24
-/* Names the settings file when the command line does not. */
+/* Environment variable with the default of --settings. */
 #define SETTINGS_VARIABLE "COLTSFOOTSTAGE_BOOT"
 
 struct host_args
@@ -49,7 +49,8 @@
   return 0;
 }
 
-/* Settings that the arguments name, or NULL after one line on stderr. */
+/* Loads the settings file given by the arguments.  Returns NULL after printing
+   an error message. */
 static struct cfs_settings *
 load_settings (int argc, char **argv, const char *doc)
 {
@@ -106,7 +107,7 @@
 
   if (!s)
     return EXIT_USAGE;
-  printf ("settings of %s in zone %s are allowed\n", s->host, s->zone);
+  printf ("settings of %s in zone %s are valid\n", s->host, s->zone);
   cfs_settings_free (s);
   return EXIT_OK;
 }
@@ -116,8 +117,9 @@
 {
   struct cfs_settings *s = load_settings (
       argc, argv,
-      "Prepares the data folder of a control host when the group is "
-      "first formed.  Never run it for a host that lost its disk.");
+      "Creates the data folder of a control host when the control group is "
+      "first "
+      "formed.  Never run it for a host that has lost its disk.");
   GError *error = NULL;
   bool ok = false;
 
@@ -151,8 +153,9 @@
 command_fleetkey (int argc, char **argv)
 {
   static const char doc[]
-      = "Makes the CURVE key of a fleet and the keys of operators and "
-        "targets, as JSON.  Settings hold the hashes of the latter two.";
+      = "Generates the CURVE key of a fleet and the keys of operators and "
+        "targets, as JSON.  Settings contain only the hashes of the latter "
+        "two.";
   struct argp argp = { NULL, NULL, NULL, doc, NULL, NULL, NULL };
   char public_key[CURVE_KEY_CHARS + 1];
   char secret_key[CURVE_KEY_CHARS + 1];
--- a/src/command/load.c
+++ b/src/command/load.c
@@ -1,8 +1,9 @@
 /*
- * Open-loop load: arrivals follow a seeded exponential clock and never wait
- * for answers, and times count from the intended start, so that a slow
- * answer delays nothing but itself.  Each booking is made once under its own
- * idempotency key; at the end the orders are counted in the targets.
+ * Open-loop load generator.  Arrivals follow a seeded Poisson process and do
+ * not wait for responses.  Latency is measured from the scheduled start, so a
+ * slow response delays no other request and is counted in full.  Each booking
+ * is sent once, under its own idempotency key; at the end the orders stored in
+ * the targets are counted.
  */
 #include "command.h"
 
@@ -37,7 +38,7 @@
   const char *label;
 };
 
-/* One request under way. */
+/* A request without a response so far. */
 struct load_request
 {
   CURL *curl;
@@ -82,13 +83,14 @@
 };
 
 static const struct argp_option options[] = {
-  { "url", 'u', "URL", 0, "a host; may be given more than once", 0 },
-  { "group", 'g', "NAME", 0, "database group (orders)", 0 },
-  { "rate", 'r', "N", 0, "requests a second (100)", 0 },
-  { "seconds", 't', "S", 0, "length of the run (5)", 0 },
-  { "writes", 'w', "SHARE", 0, "share of bookings, 0 to 1 (0.2)", 0 },
-  { "seed", 'S', "N", 0, "seed of arrivals and choices (1)", 0 },
-  { "label", 'l', "TEXT", 0, "prefix of the orders' ids (load)", 0 },
+  { "url", 'u', "URL", 0, "base URL of a host; may be repeated", 0 },
+  { "group", 'g', "NAME", 0, "database group (default orders)", 0 },
+  { "rate", 'r', "N", 0, "requests per second (default 100)", 0 },
+  { "seconds", 't', "S", 0, "duration of the run (default 5)", 0 },
+  { "writes", 'w', "SHARE", 0, "fraction of bookings, 0 to 1 (default 0.2)",
+    0 },
+  { "seed", 'S', "N", 0, "seed of the random numbers (default 1)", 0 },
+  { "label", 'l', "TEXT", 0, "prefix of the order ids (default load)", 0 },
   { 0 },
 };
 
@@ -101,7 +103,7 @@
     {
     case 'u':
       if (a->url_count == URLS_MAX)
-        argp_error (state, "too many hosts");
+        argp_error (state, "too many --url options");
       a->urls[a->url_count++] = arg;
       break;
     case 'g':
@@ -127,7 +129,9 @@
       break;
     case ARGP_KEY_END:
       if (a->url_count == 0 || !a->key || a->rate <= 0)
-        argp_error (state, "--url and COLTSFOOTSTAGE_KEY are required");
+        argp_error (
+            state,
+            "--url, COLTSFOOTSTAGE_KEY and a rate above 0 are required");
       break;
     default:
       return ARGP_ERR_UNKNOWN;
@@ -327,7 +331,8 @@
   return l->latency_ms[(size_t)((double)(l->latency_count - 1) * fraction)];
 }
 
-/* Times an order stands in the primary, or -1 when that cannot be told. */
+/* Returns how often an order is stored on the primary, or -1 when the query
+   fails. */
 static int
 count_stored (const struct load *l, const char *id)
 {
@@ -369,7 +374,7 @@
       if (n >= min_count && n <= max_count)
         continue;
       wrong++;
-      fprintf (stderr, "load: order %s stands %d times\n", ids[i], n);
+      fprintf (stderr, "load: order %s is stored %d times\n", ids[i], n);
     }
   return wrong;
 }
@@ -409,9 +414,9 @@
 command_load (int argc, char **argv)
 {
   static const char doc[]
-      = "Sends seeded open-loop load and reports throughput, latency, share "
-        "of reads on replicas, refusals, and whether each order stands "
-        "exactly once.";
+      = "Generates seeded open-loop load and reports throughput, latency, the "
+        "fraction of reads on replicas, errors, and whether each order is "
+        "stored exactly once.";
   struct argp argp = { options, parse, NULL, doc, NULL, NULL, NULL };
   struct load l = { .args = { .group = "orders",
                               .rate = 100,
--- a/src/command/main.c
+++ b/src/command/main.c
@@ -1,6 +1,6 @@
 /*
- * A table of commands; the first argument chooses, the rest is parsed by
- * the command itself.
+ * Runs the command given by the first argument; the command parses the
+ * remaining arguments itself.
  */
 #include "command.h"
 
@@ -21,18 +21,19 @@
 } commands[] = {
   { "serve", command_serve, "run a host until SIGTERM" },
   { "check", command_check, "check a settings file" },
-  { "init", command_init, "prepare the data folder of a first control host" },
-  { "fleetkey", command_fleetkey, "make the keys that settings need" },
+  { "init", command_init,
+    "create the data folder of an initial control host" },
+  { "fleetkey", command_fleetkey, "generate the keys for settings files" },
   { "show", command_show, "print the configuration and its version" },
   { "patch", command_patch, "submit a merge patch against a version" },
-  { "diff", command_diff, "print what a merge patch would change" },
+  { "diff", command_diff, "check a merge patch and print its changes" },
   { "key", command_key, "create or withdraw an access key" },
   { "sheet", command_sheet, "set or remove a sheet" },
   { "team", command_team, "set or remove a team" },
   { "audit", command_audit, "print who changed what, and when" },
   { "status", command_status, "print hosts, leases and groups" },
-  { "drain", command_drain, "stop one host in order" },
-  { "load", command_load, "send seeded load and report" },
+  { "drain", command_drain, "shut down a host gracefully" },
+  { "load", command_load, "generate load and report the results" },
 };
 
 static void
@@ -41,7 +42,9 @@
   fputs ("Usage: coltsfootstage COMMAND [OPTION...]\n\nCommands:\n", out);
   for (size_t i = 0; i < sizeof commands / sizeof commands[0]; i++)
     fprintf (out, "  %-10s %s\n", commands[i].name, commands[i].help);
-  fputs ("\n'coltsfootstage COMMAND --help' describes a command.\n", out);
+  fputs (
+      "\nRun 'coltsfootstage COMMAND --help' for the options of a command.\n",
+      out);
 }
 
 int
--- a/src/command/operator.c
+++ b/src/command/operator.c
@@ -1,7 +1,7 @@
 /*
- * Commands of operators.  Each change is a merge patch against the version
- * that the command has just read, so two operators never overwrite each
- * other: the second one is told that its version is stale.
+ * Commands for operators.  Each change is a merge patch against the version
+ * that the command has just read.  Concurrent operators therefore never
+ * overwrite each other's changes: the second patch is rejected as stale.
  */
 #include "command.h"
 
@@ -22,7 +22,7 @@
 #define HTTP_STALE 412
 #define OPERANDS_MAX 4
 
-/* Arguments of all operator commands; each uses some. */
+/* Arguments of all operator commands; each command uses some of them. */
 struct args
 {
   struct cfs_client client;
@@ -56,34 +56,36 @@
   OPT_OPEN
 };
 
-#define COMMON_OPTIONS                                                        \
-  { "url", 'u', "URL", 0, "a host (COLTSFOOTSTAGE_URL)", 0 },                 \
-  {                                                                           \
-    "operator", 'o', "NAME", 0, "name for the audit trail", 0                 \
+#define COMMON_OPTIONS                                                          \
+  {                                                                             \
+    "url", 'u', "URL", 0, "base URL of a host (default $COLTSFOOTSTAGE_URL)", 0 \
+  },                                                                            \
+  {                                                                             \
+    "operator", 'o', "NAME", 0, "name for the audit trail (default $USER)", 0   \
   }
 
 static const struct argp_option common_options[] = { COMMON_OPTIONS, { 0 } };
 
 static const struct argp_option patch_options[]
     = { COMMON_OPTIONS,
-        { "version", 'v', "N", 0, "version that the patch is against", 0 },
+        { "version", 'v', "N", 0, "version that the patch applies to", 0 },
         { "request-id", OPT_REQUEST_ID, "ID", 0,
-          "a patch sent again under this id gets its first answer", 0 },
+          "a patch repeated with the same id gets the first response", 0 },
         { 0 } };
 
 static const struct argp_option team_options[]
     = { COMMON_OPTIONS,
-        { "rate", OPT_RATE, "N", 0, "requests a second", 0 },
-        { "burst", OPT_BURST, "N", 0, "requests at once", 0 },
-        { "weight", OPT_WEIGHT, "N", 0, "share of busy targets", 0 },
+        { "rate", OPT_RATE, "N", 0, "requests per second", 0 },
+        { "burst", OPT_BURST, "N", 0, "maximum burst of requests", 0 },
+        { "weight", OPT_WEIGHT, "N", 0, "relative share of busy targets", 0 },
         { 0 } };
 
 static const struct argp_option sheet_options[]
     = { COMMON_OPTIONS,
         { "group", OPT_GROUP, "NAME", 0, "database group", 0 },
-        { "team", OPT_TEAM, "NAME", 0, "team that owns it", 0 },
-        { "sql", OPT_SQL, "TEXT", 0, "its query", 0 },
-        { "max-age-ms", OPT_MAX_AGE, "MS", 0, "greatest age of its data", 0 },
+        { "team", OPT_TEAM, "NAME", 0, "team that owns the sheet", 0 },
+        { "sql", OPT_SQL, "TEXT", 0, "query of the sheet", 0 },
+        { "max-age-ms", OPT_MAX_AGE, "MS", 0, "maximum age of the data", 0 },
         { "open", OPT_OPEN, NULL, 0, "open to all callers", 0 },
         { 0 } };
 
@@ -188,7 +190,7 @@
   return rc;
 }
 
-/* Prints the answer to a plain call. */
+/* Sends a request without a body and prints the response. */
 static int
 send_request (const struct args *a, const char *method, const char *path)
 {
@@ -227,7 +229,7 @@
   return print_response (&response);
 }
 
-/* Sends a patch against the version that is current now. */
+/* Sends a patch against the current version. */
 static int
 patch_current (const struct args *a, cJSON *patch)
 {
@@ -254,7 +256,8 @@
   return rc;
 }
 
-/* Object PATCH[kind][name], and its innermost level. */
+/* Creates a patch with an empty object at PATCH[kind][name] and returns that
+   object. */
 static cJSON *
 add_named_object (cJSON **patch, const char *kind, const char *name)
 {
@@ -311,7 +314,7 @@
   int rc;
 
   read_args (&a, argc, argv, patch_options, "FILE",
-             "Submits a JSON merge patch (RFC 7396) against a version.", 1, 1);
+             "Submits a JSON merge patch (RFC 7396) to a version.", 1, 1);
   if (!a.version)
     {
       fputs ("coltsfootstage: --version is required\n", stderr);
@@ -369,7 +372,7 @@
   cJSON *patch;
 
   read_args (&a, argc, argv, common_options, "FILE",
-             "Prints what a merge patch would change, and checks it.", 1, 1);
+             "Checks a merge patch and prints what it would change.", 1, 1);
   text = read_file (a.operands[0]);
   if (!text)
     return EXIT_USAGE;
@@ -426,8 +429,8 @@
 
   read_args (&a, argc, argv, common_options,
              "create TEAM ID\nwithdraw TEAM ID",
-             "Creates or withdraws an access key.  The key is printed once; "
-             "only its hash is kept.",
+             "Creates or withdraws an access key.  The key is printed only "
+             "once; only its hash is stored.",
              3, 3);
   if (strcmp (a.operands[0], "create") == 0)
     return create_key (&a, a.operands[1], a.operands[2]);
@@ -508,6 +511,7 @@
   struct args a;
 
   read_args (&a, argc, argv, common_options, NULL,
-             "Stops the host at --url in order, as SIGTERM does.", 0, 0);
+             "Shuts down the host at --url gracefully, as SIGTERM does.", 0,
+             0);
   return send_request (&a, "POST", "/v1/drain");
 }
