--- a/src/process/control.c
+++ b/src/process/control.c
@@ -55,7 +55,7 @@
   return cfs_disk_save_snapshot (c->disk, s);
 }
 
-static const struct cfs_peer *
+static const struct cfs_control_host *
 find_peer (const struct cfs_control *c, const char *host)
 {
   for (size_t i = 0; i < c->settings->control_count; i++)
@@ -68,7 +68,7 @@
 send_raft (void *ctx, const char *host, const Cfs__RaftMsg *msg)
 {
   const struct cfs_control *c = ctx;
-  const struct cfs_peer *p = find_peer (c, host);
+  const struct cfs_control_host *p = find_peer (c, host);
   Cfs__Peer out = CFS__PEER__INIT;
 
   out.body_case = CFS__PEER__BODY_RAFT;
--- a/src/process/control_client.c
+++ b/src/process/control_client.c
@@ -48,7 +48,7 @@
   bool reply_received;
   bool control_lost;
   int64_t last_reply_at;
-  struct cfs_peer peers[PEERS_MAX];
+  struct cfs_control_host peers[PEERS_MAX];
   size_t peer_count;
   size_t leader;
   uint64_t members_hash;
@@ -77,7 +77,7 @@
 static void
 add_peer (struct cfs_control_client *c, const char *name)
 {
-  struct cfs_peer *p;
+  struct cfs_control_host *p;
 
   for (size_t i = 0; i < c->peer_count; i++)
     if (strcmp (c->peers[i].host, name) == 0)
@@ -124,7 +124,7 @@
 static int
 send_to_leader (struct cfs_control_client *c, const Cfs__Peer *msg)
 {
-  const struct cfs_peer *p = &c->peers[c->leader];
+  const struct cfs_control_host *p = &c->peers[c->leader];
 
   return cfs_net_send (c->net, p->address, p->port, msg);
 }
--- a/src/process/settings.c
+++ b/src/process/settings.c
@@ -117,7 +117,7 @@
                  "control: the number of control hosts must be 1, 3, 5 or 7");
   cJSON_ArrayForEach (item, list)
   {
-    struct cfs_peer *p = &s->control[s->control_count++];
+    struct cfs_control_host *p = &s->control[s->control_count++];
 
     cfs_copy (p->host, sizeof p->host, cfs_json_string (item, "host", ""));
     cfs_copy (p->address, sizeof p->address,
@@ -151,7 +151,7 @@
 static bool
 add_seed (struct cfs_settings *s, const char *text)
 {
-  struct cfs_peer *p = &s->control[s->control_count];
+  struct cfs_control_host *p = &s->control[s->control_count];
   const char *colon = text ? strchr (text, ':') : NULL;
 
   if (!colon || colon - text >= CFS_NAME_MAX
--- a/src/process/settings.h
+++ b/src/process/settings.h
@@ -13,8 +13,8 @@
 #define SETTINGS_ZONES_MAX 64
 #define CURVE_KEY_CHARS 40
 
-/** struct cfs_peer - a control host as listed in the settings */
-struct cfs_peer
+/** struct cfs_control_host - a control host as listed in the settings */
+struct cfs_control_host
 {
   char host[CFS_NAME_MAX];
   char address[CFS_NAME_MAX];
@@ -63,7 +63,7 @@
   char *tls_key;
   uint32_t max_body_bytes;
   uint32_t stop_seconds;
-  struct cfs_peer control[SETTINGS_CONTROL_MAX];
+  struct cfs_control_host control[SETTINGS_CONTROL_MAX];
   size_t control_count;
   bool uses_seeds;
   bool first_start;
