--- a/src/command/operator.c
+++ b/src/command/operator.c
@@ -259,20 +259,20 @@
 /* Creates a patch with an empty object at PATCH[kind][name] and returns that
    object. */
 static cJSON *
-add_named_object (cJSON **patch, const char *kind, const char *name)
+add_named_object (cJSON **patch, const char *collection, const char *name)
 {
   cJSON *map;
 
   *patch = cJSON_CreateObject ();
-  map = cJSON_AddObjectToObject (*patch, kind);
+  map = cJSON_AddObjectToObject (*patch, collection);
   return cJSON_AddObjectToObject (map, name);
 }
 
 static int
-remove_named (const struct args *a, const char *kind, const char *name)
+remove_named (const struct args *a, const char *collection, const char *name)
 {
   cJSON *patch = cJSON_CreateObject ();
-  cJSON *map = cJSON_AddObjectToObject (patch, kind);
+  cJSON *map = cJSON_AddObjectToObject (patch, collection);
 
   cJSON_AddNullToObject (map, name);
   return patch_current (a, patch);
--- a/src/process/front.c
+++ b/src/process/front.c
@@ -168,12 +168,12 @@
   for (size_t i = 0; i < g->n_teams; i++)
     {
       const Cfs__TeamTokens *t = g->teams[i];
-      struct cfs_quota_token_reply answer = { .requested = t->asked,
-                                              .count = t->count,
-                                              .authoritative = t->known,
-                                              .sent_at = g->sent_at_us };
+      struct cfs_quota_token_reply grant = { .requested = t->asked,
+                                             .count = t->count,
+                                             .authoritative = t->known,
+                                             .sent_at = g->sent_at_us };
 
-      cfs_quota_add_tokens (&f->quota, t->team, &answer);
+      cfs_quota_add_tokens (&f->quota, t->team, &grant);
     }
 }
 
@@ -213,10 +213,10 @@
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__Heartbeat h = CFS__HEARTBEAT__INIT;
   Cfs__TeamUse *entries;
-  int64_t wait = has_unsettled_demand (f) ? DEMAND_URGENT_INTERVAL_US
-                                          : DEMAND_INTERVAL_US;
+  int64_t interval = has_unsettled_demand (f) ? DEMAND_URGENT_INTERVAL_US
+                                              : DEMAND_INTERVAL_US;
 
-  if (!c || c->team_count == 0 || now - f->demand_sent_at < wait)
+  if (!c || c->team_count == 0 || now - f->demand_sent_at < interval)
     return;
   f->demand_sent_at = now;
   entries = cfs_alloc (c->team_count * sizeof *entries);
@@ -253,19 +253,19 @@
 static void
 send_suspects (struct cfs_front *f, int64_t now)
 {
-  char *list[HOST_SUSPECTS_MAX];
+  char *suspects[HOST_SUSPECTS_MAX];
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__Heartbeat h = CFS__HEARTBEAT__INIT;
   uint64_t hash = 1;
 
-  h.suspects = list;
+  h.suspects = suspects;
   h.draining = f->draining;
   cfs_pool_suspects (f->pool, now, add_suspect, &h);
   for (size_t i = 0; i < h.n_suspects; i++)
     {
-      hash = cfs_hash (list[i], strlen (list[i]), hash);
+      hash = cfs_hash (suspects[i], strlen (suspects[i]), hash);
       if (f->suspects_hash == 1)
-        cfs_log (CFS_NOTICE, PART, "target=%s is unreachable", list[i]);
+        cfs_log (CFS_NOTICE, PART, "target=%s is unreachable", suspects[i]);
     }
   if (hash == f->suspects_hash)
     return;
@@ -280,31 +280,32 @@
 send_token_request (struct cfs_front *f, int64_t now)
 {
   Cfs__Peer out = CFS__PEER__INIT;
-  Cfs__TokensAsk ask = CFS__TOKENS_ASK__INIT;
+  Cfs__TokensAsk request = CFS__TOKENS_ASK__INIT;
   Cfs__TeamTokens entries[TOKEN_REQUEST_TEAMS_MAX];
-  Cfs__TeamTokens *list[TOKEN_REQUEST_TEAMS_MAX];
+  Cfs__TeamTokens *teams[TOKEN_REQUEST_TEAMS_MAX];
 
   for (size_t i = 0;
-       i < f->quota.teams.count && ask.n_teams < TOKEN_REQUEST_TEAMS_MAX; i++)
+       i < f->quota.teams.count && request.n_teams < TOKEN_REQUEST_TEAMS_MAX;
+       i++)
     {
       struct cfs_quota_team *r = cfs_table_at (&f->quota.teams, i);
       uint32_t count = r->waiting ? cfs_quota_tokens_to_request (r, now) : 0;
-      Cfs__TeamTokens *row = &entries[ask.n_teams];
+      Cfs__TeamTokens *tokens = &entries[request.n_teams];
 
       if (!count)
         continue;
-      cfs__team_tokens__init (row);
-      row->team = r->team;
-      row->count = count;
-      list[ask.n_teams++] = row;
+      cfs__team_tokens__init (tokens);
+      tokens->team = r->team;
+      tokens->count = count;
+      teams[request.n_teams++] = tokens;
     }
-  if (!ask.n_teams)
+  if (!request.n_teams)
     return;
-  ask.host = (char *)f->settings->host;
-  ask.sent_at_us = now;
-  ask.teams = list;
+  request.host = (char *)f->settings->host;
+  request.sent_at_us = now;
+  request.teams = teams;
   out.body_case = CFS__PEER__BODY_TOKENS_ASK;
-  out.tokens_ask = &ask;
+  out.tokens_ask = &request;
   cfs_thread_channel_send (f->channel, &out);
 }
 
--- a/src/process/traffic.c
+++ b/src/process/traffic.c
@@ -62,9 +62,9 @@
 }
 
 static void
-on_request (void *ctx, struct cfs_http_request *call)
+on_request (void *ctx, struct cfs_http_request *req)
 {
-  cfs_entry_request (((struct cfs_traffic *)ctx)->entry, call);
+  cfs_entry_request (((struct cfs_traffic *)ctx)->entry, req);
 }
 
 static void
