--- a/src/command/host.c
+++ b/src/command/host.c
@@ -118,8 +118,7 @@
   struct cfs_settings *s = load_settings (
       argc, argv,
       "Creates the data folder of a control host when the control group is "
-      "first "
-      "formed.  Never run it for a host that has lost its disk.");
+      "first formed.  Never run it for a host that has lost its disk.");
   GError *error = NULL;
   bool ok = false;
 
--- a/src/command/operator.c
+++ b/src/command/operator.c
@@ -56,12 +56,10 @@
   OPT_OPEN
 };
 
-#define COMMON_OPTIONS                                                          \
-  {                                                                             \
-    "url", 'u', "URL", 0, "base URL of a host (default $COLTSFOOTSTAGE_URL)", 0 \
-  },                                                                            \
-  {                                                                             \
-    "operator", 'o', "NAME", 0, "name for the audit trail (default $USER)", 0   \
+#define COMMON_OPTIONS                                                        \
+  { "url", 'u', "URL", 0, "URL of a host (default $COLTSFOOTSTAGE_URL)", 0 }, \
+  {                                                                           \
+    "operator", 'o', "NAME", 0, "name in the audit trail (default $USER)", 0  \
   }
 
 static const struct argp_option common_options[] = { COMMON_OPTIONS, { 0 } };
