--- a/src/command/client.c
+++ b/src/command/client.c
@@ -11,14 +11,14 @@
 #define HEADER_MAX 512
 
 static size_t
-take_body (char *data, size_t size, size_t count, void *ctx)
+append_body (char *data, size_t size, size_t count, void *ctx)
 {
   g_string_append_len (ctx, data, (gssize)(size * count));
   return size * count;
 }
 
 static size_t
-take_header (char *data, size_t size, size_t count, void *ctx)
+parse_header (char *data, size_t size, size_t count, void *ctx)
 {
   static const char etag[] = "ETag: \"";
   struct cfs_client_response *response = ctx;
@@ -63,9 +63,9 @@
   curl_easy_setopt (curl, CURLOPT_HTTPHEADER, list);
   curl_easy_setopt (curl, CURLOPT_NOSIGNAL, 1L);
   curl_easy_setopt (curl, CURLOPT_TIMEOUT_MS, c->timeout_ms);
-  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, take_body);
+  curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, append_body);
   curl_easy_setopt (curl, CURLOPT_WRITEDATA, text);
-  curl_easy_setopt (curl, CURLOPT_HEADERFUNCTION, take_header);
+  curl_easy_setopt (curl, CURLOPT_HEADERFUNCTION, parse_header);
   curl_easy_setopt (curl, CURLOPT_HEADERDATA, response);
   if (body)
     curl_easy_setopt (curl, CURLOPT_POSTFIELDS, body);
--- a/src/command/load.c
+++ b/src/command/load.c
@@ -33,7 +33,7 @@
   const char *group;
   double rate;
   double seconds;
-  double write_share;
+  double write_fraction;
   uint64_t seed;
   const char *label;
 };
@@ -63,9 +63,9 @@
   uint64_t seed;
   uint64_t sent;
   uint64_t done;
-  uint64_t replica;
-  uint64_t primary;
-  uint64_t open;
+  uint64_t replica_reads;
+  uint64_t primary_reads;
+  uint64_t in_flight;
   double *latency_ms;
   size_t latency_count;
   size_t latency_cap;
@@ -116,7 +116,7 @@
       a->seconds = strtod (arg, NULL);
       break;
     case 'w':
-      a->write_share = strtod (arg, NULL);
+      a->write_fraction = strtod (arg, NULL);
       break;
     case 'S':
       a->seed = strtoull (arg, NULL, 10);
@@ -146,26 +146,26 @@
 }
 
 static size_t
-take_body (char *data, size_t size, size_t count, void *ctx)
+append_body (char *data, size_t size, size_t count, void *ctx)
 {
   g_string_append_len (ctx, data, (gssize)(size * count));
   return size * count;
 }
 
 static void
-prepare_body (struct load *l, struct load_request *s)
+prepare_body (struct load *l, struct load_request *r)
 {
   unsigned item = (unsigned)(cfs_random (&l->seed) % 20);
 
-  snprintf (s->id, sizeof s->id, "%s-%" PRIu64 "-%" PRIu64, l->args.label,
+  snprintf (r->id, sizeof r->id, "%s-%" PRIu64 "-%" PRIu64, l->args.label,
             l->args.seed, l->sent);
-  if (s->write)
-    snprintf (s->body, sizeof s->body,
+  if (r->write)
+    snprintf (r->body, sizeof r->body,
               "{\"sql\":\"INSERT INTO orders (id, team, item, qty) VALUES "
               "($1, $2, $3, $4)\",\"params\":[\"%s\",\"load\",\"item-%u\",1]}",
-              s->id, item);
+              r->id, item);
   else
-    snprintf (s->body, sizeof s->body,
+    snprintf (r->body, sizeof r->body,
               "{\"sql\":\"SELECT qty FROM stock WHERE item = $1\",\"params\":"
               "[\"item-%u\"],\"mode\":\"read\"}",
               item);
@@ -174,35 +174,35 @@
 static void
 start_request (struct load *l, int64_t scheduled_at)
 {
-  struct load_request *s = cfs_alloc (sizeof *s);
+  struct load_request *r = cfs_alloc (sizeof *r);
   char text[256];
 
   l->sent++;
-  s->scheduled_at = scheduled_at;
-  s->write = random_uniform (l) < l->args.write_share;
-  prepare_body (l, s);
-  s->response = g_string_new (NULL);
-  s->curl = curl_easy_init ();
+  r->scheduled_at = scheduled_at;
+  r->write = random_uniform (l) < l->args.write_fraction;
+  prepare_body (l, r);
+  r->response = g_string_new (NULL);
+  r->curl = curl_easy_init ();
   snprintf (text, sizeof text, "%s/v1/groups/%s/statements",
             l->args.urls[l->sent % (uint64_t)l->args.url_count],
             l->args.group);
-  curl_easy_setopt (s->curl, CURLOPT_URL, text);
+  curl_easy_setopt (r->curl, CURLOPT_URL, text);
   snprintf (text, sizeof text, "Authorization: Bearer %s", l->args.key);
-  s->headers = curl_slist_append (NULL, text);
-  if (s->write)
+  r->headers = curl_slist_append (NULL, text);
+  if (r->write)
     {
-      snprintf (text, sizeof text, "Idempotency-Key: %s", s->id);
-      s->headers = curl_slist_append (s->headers, text);
+      snprintf (text, sizeof text, "Idempotency-Key: %s", r->id);
+      r->headers = curl_slist_append (r->headers, text);
     }
-  curl_easy_setopt (s->curl, CURLOPT_HTTPHEADER, s->headers);
-  curl_easy_setopt (s->curl, CURLOPT_POSTFIELDS, s->body);
-  curl_easy_setopt (s->curl, CURLOPT_WRITEFUNCTION, take_body);
-  curl_easy_setopt (s->curl, CURLOPT_WRITEDATA, s->response);
-  curl_easy_setopt (s->curl, CURLOPT_PRIVATE, s);
-  curl_easy_setopt (s->curl, CURLOPT_TIMEOUT_MS, 30000L);
-  curl_easy_setopt (s->curl, CURLOPT_NOSIGNAL, 1L);
-  curl_multi_add_handle (l->multi, s->curl);
-  l->open++;
+  curl_easy_setopt (r->curl, CURLOPT_HTTPHEADER, r->headers);
+  curl_easy_setopt (r->curl, CURLOPT_POSTFIELDS, r->body);
+  curl_easy_setopt (r->curl, CURLOPT_WRITEFUNCTION, append_body);
+  curl_easy_setopt (r->curl, CURLOPT_WRITEDATA, r->response);
+  curl_easy_setopt (r->curl, CURLOPT_PRIVATE, r);
+  curl_easy_setopt (r->curl, CURLOPT_TIMEOUT_MS, 30000L);
+  curl_easy_setopt (r->curl, CURLOPT_NOSIGNAL, 1L);
+  curl_multi_add_handle (l->multi, r->curl);
+  l->in_flight++;
 }
 
 static void
@@ -227,15 +227,15 @@
 }
 
 static void
-record_write (struct load *l, const struct load_request *s,
+record_write (struct load *l, const struct load_request *r,
               const char *outcome)
 {
   if (strcmp (outcome, "done") == 0)
-    append_id (&l->booked, &l->booked_cap, &l->booked_count, s->id);
+    append_id (&l->booked, &l->booked_cap, &l->booked_count, r->id);
   else if (strcmp (outcome, "not_run") == 0)
-    append_id (&l->not_run, &l->not_run_cap, &l->not_run_count, s->id);
+    append_id (&l->not_run, &l->not_run_cap, &l->not_run_count, r->id);
   else
-    append_id (&l->unknown, &l->unknown_cap, &l->unknown_count, s->id);
+    append_id (&l->unknown, &l->unknown_cap, &l->unknown_count, r->id);
 }
 
 static const char *
@@ -247,9 +247,9 @@
 }
 
 static void
-finish_request (struct load *l, struct load_request *s, CURLcode rc)
+finish_request (struct load *l, struct load_request *r, CURLcode rc)
 {
-  cJSON *doc = rc == CURLE_OK ? cJSON_Parse (s->response->str) : NULL;
+  cJSON *doc = rc == CURLE_OK ? cJSON_Parse (r->response->str) : NULL;
   const char *outcome = json_text (doc, "outcome", "unknown");
   bool ok = strcmp (outcome, "done") == 0;
 
@@ -259,22 +259,22 @@
       cfs_grow (&l->latency_ms, &l->latency_cap, l->latency_count,
                 sizeof *l->latency_ms);
       l->latency_ms[l->latency_count++]
-          = (double)(cfs_now () - s->scheduled_at) / CFS_US_PER_MS;
+          = (double)(cfs_now () - r->scheduled_at) / CFS_US_PER_MS;
       l->done++;
-      if (!s->write && strcmp (json_text (doc, "from", ""), "replica") == 0)
-        l->replica++;
-      else if (!s->write)
-        l->primary++;
+      if (!r->write && strcmp (json_text (doc, "from", ""), "replica") == 0)
+        l->replica_reads++;
+      else if (!r->write)
+        l->primary_reads++;
     }
-  if (s->write)
-    record_write (l, s, outcome);
+  if (r->write)
+    record_write (l, r, outcome);
   cJSON_Delete (doc);
-  curl_multi_remove_handle (l->multi, s->curl);
-  curl_easy_cleanup (s->curl);
-  curl_slist_free_all (s->headers);
-  g_string_free (s->response, TRUE);
-  free (s);
-  l->open--;
+  curl_multi_remove_handle (l->multi, r->curl);
+  curl_easy_cleanup (r->curl);
+  curl_slist_free_all (r->headers);
+  g_string_free (r->response, TRUE);
+  free (r);
+  l->in_flight--;
 }
 
 static void
@@ -288,10 +288,10 @@
   while ((msg = curl_multi_info_read (l->multi, &left)))
     if (msg->msg == CURLMSG_DONE)
       {
-        struct load_request *s = NULL;
+        struct load_request *r = NULL;
 
-        curl_easy_getinfo (msg->easy_handle, CURLINFO_PRIVATE, &s);
-        finish_request (l, s, msg->data.result);
+        curl_easy_getinfo (msg->easy_handle, CURLINFO_PRIVATE, &r);
+        finish_request (l, r, msg->data.result);
       }
 }
 
@@ -301,7 +301,7 @@
   int64_t next = cfs_now ();
   int64_t end = next + (int64_t)(l->args.seconds * CFS_US_PER_S);
 
-  while (next < end || l->open)
+  while (next < end || l->in_flight)
     {
       while (next < end && cfs_now () >= next)
         {
@@ -382,7 +382,7 @@
 static size_t
 report (struct load *l)
 {
-  uint64_t reads = l->replica + l->primary;
+  uint64_t reads = l->replica_reads + l->primary_reads;
   size_t wrong = count_wrong (l, l->booked, l->booked_count, 1, 1)
                  + count_wrong (l, l->not_run, l->not_run_count, 0, 0)
                  + count_wrong (l, l->unknown, l->unknown_count, 0, 1);
@@ -394,7 +394,7 @@
   printf ("latency ms: p50 %.1f, p99 %.1f, max %.1f\n", percentile (l, 0.5),
           percentile (l, 0.99), percentile (l, 1));
   printf ("reads on replicas: %.1f%% of %" PRIu64 "\n",
-          reads ? 100.0 * (double)l->replica / (double)reads : 0, reads);
+          reads ? 100.0 * (double)l->replica_reads / (double)reads : 0, reads);
   for (size_t i = 0; i < l->code_count; i++)
     printf ("answers %s: %" PRIu64 "\n", l->codes[i].code, l->codes[i].count);
   printf ("booked once: %zu booked, %zu refused, %zu unsure, %zu wrong\n",
@@ -421,7 +421,7 @@
   struct load l = { .args = { .group = "orders",
                               .rate = 100,
                               .seconds = 5,
-                              .write_share = 0.2,
+                              .write_fraction = 0.2,
                               .seed = 1,
                               .label = "load",
                               .key = getenv ("COLTSFOOTSTAGE_KEY") } };
--- a/src/process/core.c
+++ b/src/process/core.c
@@ -24,7 +24,7 @@
 struct core
 {
   void *zmq;
-  apr_pool_t *pool;
+  apr_pool_t *apr_pool;
   struct cfs_loop *loop;
   struct cfs_control *control;
   struct control_api *control_api;
@@ -84,9 +84,9 @@
 start (struct core *c, const struct cfs_settings *settings, GError **error)
 {
   apr_initialize ();
-  apr_pool_create (&c->pool, NULL);
+  apr_pool_create (&c->apr_pool, NULL);
   c->zmq = zmq_ctx_new ();
-  c->loop = cfs_loop_new (c->pool);
+  c->loop = cfs_loop_new (c->apr_pool);
   c->control = cfs_control_new (settings, c->zmq, c->loop, error);
   if (c->control)
     {
@@ -104,7 +104,7 @@
   promotion_client_free (c->promotion);
   instances_adapter_free (c->adapter);
   zmq_ctx_term (c->zmq);
-  apr_pool_destroy (c->pool);
+  apr_pool_destroy (c->apr_pool);
   apr_terminate ();
 }
 
--- a/src/process/node.c
+++ b/src/process/node.c
@@ -34,7 +34,7 @@
   struct cfs_loop *loop;
   struct cfs_control *control;
   struct cfs_control_client *agent;
-  apr_pool_t *pool;
+  apr_pool_t *apr_pool;
   volatile bool stop;
   uint64_t boot_id;
 };
@@ -144,7 +144,7 @@
   cfs_thread_channel_free (n->channel);
   cfs_zap_handler_free (n->zap);
   zmq_ctx_term (n->zmq);
-  apr_pool_destroy (n->pool);
+  apr_pool_destroy (n->apr_pool);
 }
 
 /* Runs the control thread for as long as @run handles traffic in the calling
@@ -156,7 +156,7 @@
   apr_thread_t *thread;
   apr_status_t rc;
 
-  if (apr_thread_create (&thread, NULL, control_main, n, n->pool)
+  if (apr_thread_create (&thread, NULL, control_main, n, n->apr_pool)
       != APR_SUCCESS)
     return false;
   run (traffic);
@@ -209,12 +209,12 @@
   signal (SIGINT, on_signal);
   signal (SIGHUP, on_signal);
   apr_initialize ();
-  apr_pool_create (&n.pool, NULL);
+  apr_pool_create (&n.apr_pool, NULL);
   randombytes_buf (&n.boot_id, sizeof n.boot_id);
   n.zmq = zmq_ctx_new ();
   if (*settings->curve_public)
     n.zap = cfs_zap_handler_new (n.zmq, settings->curve_public);
-  n.loop = cfs_loop_new (n.pool);
+  n.loop = cfs_loop_new (n.apr_pool);
   n.channel = cfs_thread_channel_new (n.zmq, TRAFFIC_ENDPOINT, true, n.loop);
   ok = open_control (&n, error);
   if (ok)
--- a/src/process/traffic.c
+++ b/src/process/traffic.c
@@ -25,7 +25,7 @@
 struct cfs_traffic
 {
   const struct cfs_settings *settings;
-  apr_pool_t *pool;
+  apr_pool_t *apr_pool;
   struct cfs_loop *loop;
   struct cfs_directory directory;
   struct cfs_net *net;
@@ -36,8 +36,8 @@
   char *certificate;
   char *key;
   uint8_t *last_report;
-  size_t last_len;
-  bool drain;
+  size_t last_report_len;
+  bool draining;
   bool stop;
 };
 
@@ -187,8 +187,8 @@
 
   t->settings = settings;
   cfs_directory_init (&t->directory, settings->host, boot_id);
-  apr_pool_create (&t->pool, NULL);
-  t->loop = cfs_loop_new (t->pool);
+  apr_pool_create (&t->apr_pool, NULL);
+  t->loop = cfs_loop_new (t->apr_pool);
   if (!t->loop || !open_channel (t, zmq) || !open_net (t, zmq, error)
       || !open_http (t, error))
     {
@@ -219,7 +219,7 @@
   g_free (t->certificate);
   g_free (t->key);
   free (t->last_report);
-  apr_pool_destroy (t->pool);
+  apr_pool_destroy (t->apr_pool);
   free (t);
 }
 
@@ -233,21 +233,21 @@
   uint8_t *data;
   size_t len;
 
-  h.draining = t->drain;
-  cfs_gates_report (t->gates, t->drain, &h, now);
+  h.draining = t->draining;
+  cfs_gates_report (t->gates, t->draining, &h, now);
   out.body_case = CFS__PEER__BODY_HEARTBEAT;
   out.heartbeat = &h;
   len = cfs__peer__get_packed_size (&out);
   data = cfs_alloc (len);
   cfs__peer__pack (&out, data);
-  if (len == t->last_len && memcmp (data, t->last_report, len) == 0)
+  if (len == t->last_report_len && memcmp (data, t->last_report, len) == 0)
     {
       free (data);
       return;
     }
   free (t->last_report);
   t->last_report = data;
-  t->last_len = len;
+  t->last_report_len = len;
   cfs_thread_channel_send (t->channel, &out);
 }
 
@@ -285,7 +285,7 @@
   while (!*stop && !t->stop)
     run_once (t);
   started = cfs_now ();
-  t->drain = true;
+  t->draining = true;
   cfs_entry_drain (t->entry);
   cfs_log (CFS_NOTICE, PART,
            "stopping: handing over gates and finishing open requests");
