--- a/src/connection/adapter.c
+++ b/src/connection/adapter.c
@@ -1,4 +1,4 @@
-/* Comparison of positions and names of codes, shared by both edges. */
+/* Position comparison and names of codes, shared by all adapters. */
 #include "adapter.h"
 
 static const char *const reply_names[REPLY_CODES]
--- a/src/connection/adapter.h
+++ b/src/connection/adapter.h
@@ -1,43 +1,49 @@
 /**
- * DOC: The two edges of a host: sessions of callers and links to targets.
+ * DOC: Protocol adapters for connections from callers and to targets.
  *
- * Each edge is a small vtable with one variant per platform.  Statements,
- * replies and positions are typed here; an edge decodes its protocol into
- * them and decides nothing.
+ * Each adapter is a small vtable, implemented once per platform.  This header
+ * defines the protocol-independent statements, replies and positions; an
+ * adapter only translates between its protocol and these types.
  */
 #ifndef CFS_ADAPTER_H
 #define CFS_ADAPTER_H
 
 #include "../cfs.h"
 
-/** struct cfs_position - place in a group's log; term 0 is unknown */
+/**
+ * struct cfs_position - position in a group's replicated log
+ * @term: term of the log's primary; 0 if the position is unknown
+ * @number: position within the log
+ */
 struct cfs_position
 {
   uint64_t term;
   uint64_t number;
 };
 
-/** cfs_position_compare() - negative, 0 or positive as of strcmp() */
+/** cfs_position_compare() - orders positions by term, then number, with the
+ * result convention of strcmp() */
 int cfs_position_compare (const struct cfs_position *a,
                           const struct cfs_position *b);
 
 /**
  * enum cfs_verb - kinds of statements
- * @VERB_BEGIN: opens a transaction that may write
- * @VERB_BEGIN_READ: opens a transaction that only reads
- * @VERB_COMMIT: ends a transaction and keeps its writes
- * @VERB_ROLLBACK: ends a transaction and drops its writes
+ * @VERB_BEGIN: starts a read-write transaction
+ * @VERB_BEGIN_READ: starts a read-only transaction
+ * @VERB_COMMIT: commits a transaction
+ * @VERB_ROLLBACK: rolls a transaction back
  * @VERB_READ: reads an item
  * @VERB_WRITE: writes an item
- * @VERB_SET: sets a value of the session
- * @VERB_PREPARE: names a shape of statements
+ * @VERB_SET: sets a session variable
+ * @VERB_PREPARE: creates a prepared statement
  * @VERB_EXECUTE: runs a prepared statement
- * @VERB_DEALLOCATE: forgets a prepared name
- * @VERB_RESET: drops values and prepared names of a link
- * @VERB_STATUS: asks an instance for its state
- * @VERB_PAUSE: stops a replica from receiving
- * @VERB_RESUME: lets it receive again
- * @VERB_DEMOTE: makes a primary of a lower term a replica
+ * @VERB_DEALLOCATE: removes a prepared statement
+ * @VERB_RESET: clears the session variables and prepared statements of a
+ * connection
+ * @VERB_STATUS: queries the state of an instance
+ * @VERB_PAUSE: stops replication to a replica
+ * @VERB_RESUME: resumes replication to a replica
+ * @VERB_DEMOTE: turns a primary of a lower term into a replica
  */
 enum cfs_verb
 {
@@ -58,17 +64,18 @@
   VERB_DEMOTE
 };
 
-/** cfs_verb_name() - stable name of a verb for logs */
+/** cfs_verb_name() - name of a verb in log lines */
 const char *cfs_verb_name (enum cfs_verb verb);
 
 /**
- * struct cfs_statement - one statement; texts belong to the giver
- * @id: request id, NULL for statements of our own
- * @name: of a value or a prepared statement, else NULL
- * @arg: item, data, value or shape, as the caller wrote it, or NULL
- * @writes: with VERB_PREPARE: the shape writes
- * @after: position that the instance must hold, term 0 for none
- * @term: with VERB_PAUSE and VERB_DEMOTE
+ * struct cfs_statement - one statement; strings are owned by the sender
+ * @id: request id, NULL for statements that the proxy itself issues
+ * @name: name of a session variable or prepared statement, else NULL
+ * @arg: item, data, value or statement text, as the caller wrote it, or NULL
+ * @writes: with VERB_PREPARE: the prepared statement writes
+ * @after: minimum position that the instance's log must have reached, term 0
+ * for none
+ * @term: term of the failover, with VERB_PAUSE and VERB_DEMOTE only
  */
 struct cfs_statement
 {
@@ -82,22 +89,23 @@
 };
 
 /**
- * enum cfs_reply_code - how a statement ended
- * @REPLY_OK: done
- * @REPLY_BUSY: not run, no room
- * @REPLY_BEHIND: not run, the log lacks the position asked for
- * @REPLY_NOT_PRIMARY: not run, the instance does not lead
+ * enum cfs_reply_code - result of a statement
+ * @REPLY_OK: succeeded
+ * @REPLY_BUSY: not run, overloaded
+ * @REPLY_BEHIND: not run, the log has not reached the required position
+ * @REPLY_NOT_PRIMARY: not run, the instance is not the primary
  * @REPLY_WRONG_TARGET: not run, another instance is at this address
- * @REPLY_NO_CONNECTION: not run, the instance has all connections it allows
- * @REPLY_UNPREPARED: not run, the prepared name is unknown
- * @REPLY_ABORTED: the transaction was rolled back, nothing is kept
- * @REPLY_FAILED: run and failed
- * @REPLY_TIMEOUT: run, and given up
- * @REPLY_UNKNOWN: it may or may not have taken effect
- * @REPLY_MALFORMED: not run, not allowed here
- * @REPLY_NO_DATABASE: not run, no route has that name
- * @REPLY_NO_KEY: not run, the key is unknown
- * @REPLY_OTHER: an error that this program does not know
+ * @REPLY_NO_CONNECTION: not run, the instance's connection limit is reached
+ * @REPLY_UNPREPARED: not run, no such prepared statement
+ * @REPLY_ABORTED: the transaction was rolled back without effect
+ * @REPLY_FAILED: run, and failed
+ * @REPLY_TIMEOUT: run, but not finished within the timeout
+ * @REPLY_UNKNOWN: may or may not have taken effect
+ * @REPLY_MALFORMED: not run, malformed or not allowed in this state
+ * @REPLY_NO_DATABASE: not run, no route for this database name
+ * @REPLY_NO_KEY: not run, unknown API key
+ * @REPLY_OTHER: an error code unknown to this program
+ * @REPLY_CODES: number of codes
  */
 enum cfs_reply_code
 {
@@ -119,10 +127,10 @@
   REPLY_CODES
 };
 
-/** cfs_reply_name() - stable name of a code for logs and metrics */
+/** cfs_reply_name() - name of a code in log lines and metrics */
 const char *cfs_reply_name (enum cfs_reply_code code);
 
-/** enum cfs_tx_state - state of a session or a link */
+/** enum cfs_tx_state - transaction state of a session or a connection */
 enum cfs_tx_state
 {
   TX_IDLE,
@@ -131,14 +139,14 @@
 };
 
 /**
- * struct cfs_reply - the end of a statement; texts belong to the giver
- * @code: how it ended
- * @rows: row texts, each terminated, one after the other
+ * struct cfs_reply - reply to a statement; strings are owned by the sender
+ * @code: result
+ * @rows: the rows as consecutive null-terminated strings
  * @row_count: number of rows
- * @proof: the instance's proof that it ran the statement, NULL for none
- * @text: what the error says, may be NULL
- * @state: state of the connection afterwards
- * @position: of the instance's log, term 0 when not given
+ * @proof: the instance's proof that it executed the statement, or NULL
+ * @text: error message, may be NULL
+ * @state: transaction state of the connection after the statement
+ * @position: position of the instance's log, term 0 if not given
  */
 struct cfs_reply
 {
@@ -154,12 +162,12 @@
 struct cfs_caller;
 
 /**
- * struct cfs_caller_ops - effects on a caller's connection
- * @admitted: a session that had to wait is accepted, or refused: then it
- * is gone and @caller closes itself
- * @reply: the end of the statement that the caller waits for
- * @close: ends the connection without a message; @caller and its
- * session must not be used afterwards
+ * struct cfs_caller_ops - operations on a caller's connection
+ * @admitted: called once for a session whose admission was deferred; unless
+ * @code is REPLY_OK the session has been freed and @caller closes itself
+ * @reply: sends the reply to the caller's current statement
+ * @close: closes the connection without a message; @caller and its session
+ * must not be used afterwards
  */
 struct cfs_caller_ops
 {
@@ -168,7 +176,7 @@
   void (*close) (struct cfs_caller *caller);
 };
 
-/** struct cfs_caller - a caller's connection, extended by its edge */
+/** struct cfs_caller - base of an adapter's connection from a caller */
 struct cfs_caller
 {
   const struct cfs_caller_ops *ops;
@@ -177,9 +185,9 @@
 struct cfs_target_conn;
 
 /**
- * struct cfs_target_conn_ops - effects on a connection to an instance
- * @send: hands statements over, in order; each gets one reply
- * @close: ends the connection at once and frees it; no event follows
+ * struct cfs_target_conn_ops - operations on a connection to an instance
+ * @send: queues statements in order; each receives one reply
+ * @close: closes the connection immediately and frees it; no event follows
  */
 struct cfs_target_conn_ops
 {
@@ -188,20 +196,18 @@
   void (*close) (struct cfs_target_conn *conn);
 };
 
-/** struct cfs_target_conn - a connection to an instance, extended by its edge
- */
+/** struct cfs_target_conn - base of an adapter's connection to an instance */
 struct cfs_target_conn
 {
   const struct cfs_target_conn_ops *ops;
 };
 
 /**
- * struct cfs_target_conn_events - what a connection to an instance tells its
- * owner
- * @opened: the instance accepted or refused the connection; a refused one
- * is to be closed
- * @replied: the oldest statement without a reply ended
- * @lost: the connection is gone and was freed
+ * struct cfs_target_conn_events - callbacks to the owner of a connection
+ * @opened: the instance accepted or refused the connection; the owner must
+ * close a refused one
+ * @replied: reply to the oldest outstanding statement
+ * @lost: the connection broke and has been freed
  */
 struct cfs_target_conn_events
 {
@@ -213,9 +219,9 @@
 /**
  * struct cfs_target_conn_setup - parameters of a new connection
  * @address: "IP:PORT"
- * @service: name of the group that the instance must serve
- * @team: on whose behalf the connection is used
- * @target: identity that the instance must have
+ * @service: name of the group that the instance must belong to
+ * @team: team whose statements the connection carries
+ * @target: name that the instance must identify itself with
  */
 struct cfs_target_conn_setup
 {
@@ -228,10 +234,10 @@
 };
 
 /**
- * struct cfs_instance_state - what an instance says of itself
- * @primary: it leads
- * @term: its term
- * @received: end of its log
+ * struct cfs_instance_state - state reported by an instance
+ * @primary: whether it is the primary
+ * @term: its current term
+ * @received: position of the last entry in its log
  */
 struct cfs_instance_state
 {
@@ -241,10 +247,10 @@
 };
 
 /**
- * struct cfs_target_adapter - how connections to instances are made
- * @open: starts a connection, or gives NULL when that cannot be
+ * struct cfs_target_adapter - adapter for one platform's instance protocol
+ * @open: starts connecting; returns NULL on immediate failure
  * @read_status: decodes the reply to VERB_STATUS, VERB_PAUSE, VERB_RESUME
- * and VERB_DEMOTE; false when it cannot be read
+ * and VERB_DEMOTE; false if it is malformed
  */
 struct cfs_target_adapter
 {
--- a/src/connection/pool.c
+++ b/src/connection/pool.c
@@ -1,6 +1,6 @@
 /*
- * Links of a target stand in one list, the most recently used first, so
- * rarely used ones gather at the end and are closed.
+ * The connections of a target form one list, most recently used first, so
+ * rarely used ones collect at the end, become idle and are closed.
  */
 #include "pool_int.h"
 
@@ -10,17 +10,28 @@
 #include <string.h>
 
 #define PART "pool"
-/* A connection that is not up by then counts as failed. */
+/* A connection that is not established within this time has failed. */
 #define OPEN_TIMEOUT_US (1500 * CFS_US_PER_MS)
-/* Idle links are closed after this time. */
+/* Idle connections are closed after this time. */
 #define IDLE_TIMEOUT_US (1500 * CFS_US_PER_MS)
-/* The same while the instance refuses connections. */
+/* The same while the instance refuses connections, to free some of its
+   connection limit for other hosts. */
 #define IDLE_TIMEOUT_LIMITED_US (150 * CFS_US_PER_MS)
-/* A settling link whose replies do not come is closed. */
+/* A released connection is closed if its outstanding replies take longer. */
 #define DRAIN_TIMEOUT_US (2 * CFS_US_PER_S)
-/* Named to instances where callers need no key. */
+/* Team name sent to instances on routes that need no API key. */
 #define PUBLIC_TEAM "public"
 
+/**
+ * struct cfs_pooled_conn - see pool.h
+ * @next: in the target's list
+ * @user: passed to @events; NULL while the connection is in the pool
+ * @pending: statements without a reply
+ * @state: transaction state after the last reply
+ * @changed_at: time of the last open, send, acquire or release
+ * @values: session variables set on the connection
+ * @prepared: names of the statements prepared on the connection
+ */
 struct cfs_pooled_conn
 {
   struct cfs_pool *pool;
@@ -110,6 +121,9 @@
     events->opened (user, r);
 }
 
+/* Called for a released connection and for each reply that arrives after its
+   release.  Once none is outstanding, the connection must be outside a
+   transaction to stay in the pool. */
 static void
 drain_released (struct cfs_pooled_conn *c, int64_t now)
 {
@@ -150,7 +164,7 @@
   if (!idle)
     {
       target_note_failure (state_of (c), cfs_pool_now (c->pool));
-      cfs_log (CFS_NOTICE, PART, "target=%s team=%s up=%d link lost: %s",
+      cfs_log (CFS_NOTICE, PART, "target=%s team=%s up=%d connection lost: %s",
                c->target, c->team, c->established, reason);
     }
   free_conn (c);
@@ -208,7 +222,9 @@
   return !c->user && c->established && c->pending == 0 && c->state == TX_IDLE;
 }
 
-/* Whether a link that nobody holds is to be closed. */
+/* Whether a connection without a user is to be closed: it was not established
+   or drained in time, its target is gone or draining, or it was idle for too
+   long. */
 static bool
 is_expired (const struct cfs_pool *p, const struct target_state *s,
             const struct cfs_pooled_conn *c, int64_t now)
@@ -227,7 +243,8 @@
                                                  : IDLE_TIMEOUT_US);
 }
 
-/* A held link that does not come up ends as lost. */
+/* Whether a connection that a user waits for was not established in time; the
+   user is told that it is lost. */
 static bool
 open_timed_out (const struct cfs_pooled_conn *c, int64_t now)
 {
@@ -255,14 +272,15 @@
         if (open_timed_out (c, now))
           {
             c->target_conn->ops->close (c->target_conn);
-            on_lost (c, "the connection does not come up");
+            on_lost (c, "timeout while connecting");
           }
         else
           cfs_pool_close_conn (c);
     }
 }
 
-/* The idle link of a team, or with team NULL the least recently used one. */
+/* The most recently used idle connection of a team, or if team is NULL the
+   least recently used one of any team. */
 static struct cfs_pooled_conn *
 find_idle (const struct target_state *s, const char *team)
 {
--- a/src/connection/pool.h
+++ b/src/connection/pool.h
@@ -1,12 +1,13 @@
 /**
- * DOC: Links to targets: one connection to one instance on behalf of one
- * team, kept for reuse.
+ * DOC: Connection pool: reusable connections to targets, each for one
+ * instance and one team.
  *
- * A link is held by one holder at a time.  It goes back to the pool only
- * outside a transaction; replies that are still due then are taken by the
- * pool before anybody else gets the link.  The bound of connections of an
- * instance holds for all hosts together and is met by its refusals: a host
- * that is refused gives idle links up sooner and backs off.
+ * A connection has at most one user at a time.  It can be reused only outside
+ * a transaction; after its release the pool consumes the outstanding replies
+ * before it hands the connection to another user.  The connection limit of an
+ * instance covers all hosts together, and only the instance enforces it, by
+ * refusing connections: a host that is refused closes idle connections sooner
+ * and backs off.
  */
 #ifndef CFS_POOL_H
 #define CFS_POOL_H
@@ -20,11 +21,11 @@
 struct cfs_pooled_conn;
 
 /**
- * struct cfs_pooled_conn_events - what a link tells its holder
- * @opened: the connection is up, or was refused; a refused link is freed
- * before this is called
- * @replied: the oldest statement without a reply ended
- * @lost: the link is freed before this is called
+ * struct cfs_pooled_conn_events - callbacks to the user of a connection
+ * @opened: the connection is established, or was refused; a refused
+ * connection is freed before the call
+ * @replied: reply to the oldest outstanding statement
+ * @lost: the connection broke; it is freed before the call
  */
 struct cfs_pooled_conn_events
 {
@@ -34,11 +35,11 @@
 };
 
 /**
- * cfs_pool_new() - without links
- * @adapter: makes connections, must outlive the pool
+ * cfs_pool_new() - creates an empty pool
+ * @adapter: opens connections, must outlive the pool
  * @fleet: targets, configuration and zones, must outlive the pool
- * @clock: gives the time at events
- * @seed: of the random part of pauses, not 0
+ * @clock: returns the current time, used in callbacks
+ * @seed: seed of the random backoff jitter, not 0
  *
  * Return: freed by cfs_pool_free().
  */
@@ -46,43 +47,47 @@
                                const struct cfs_fleet *fleet,
                                int64_t (*clock) (void), uint64_t seed);
 
-/** cfs_pool_now() - the time by the pool's clock */
+/** cfs_pool_now() - current time by the pool's clock */
 int64_t cfs_pool_now (const struct cfs_pool *pool);
 
-/** cfs_pool_free() - closes all links */
+/** cfs_pool_free() - closes all connections and frees the pool */
 void cfs_pool_free (struct cfs_pool *pool);
 
-/** cfs_pool_tick() - closes links that idle too long or lead nowhere */
+/** cfs_pool_tick() - closes idle connections and those that timed out while
+ * connecting or draining */
 void cfs_pool_tick (struct cfs_pool *pool, int64_t now);
 
 /**
- * cfs_pool_acquire() - a link for a holder
+ * cfs_pool_acquire() - reuses an idle connection or opens a new one
  * @target: name of the instance
  * @team: team on whose behalf statements run
+ * @events: callbacks, called with @user
  * @now: time
- * @opening: set when the connection is not up yet
+ * @opening: set to whether the connection is not established yet; the opened
+ * callback follows in that case
  *
- * Return: the link, or NULL when there is no room for one now.
+ * Return: the connection, or NULL if the instance is unknown, overloaded or
+ * down.
  */
 struct cfs_pooled_conn *
 cfs_pool_acquire (struct cfs_pool *pool, const char *target, const char *team,
                   const struct cfs_pooled_conn_events *events, void *user,
                   int64_t now, bool *opening);
 
-/** cfs_pool_release() - takes a link back; closes it when it cannot be reused
- */
+/** cfs_pool_release() - returns a connection to the pool, which closes it if
+ * it cannot be reused */
 void cfs_pool_release (struct cfs_pooled_conn *conn, int64_t now);
 
-/** cfs_pool_close_conn() - closes a link at once */
+/** cfs_pool_close_conn() - closes a connection immediately */
 void cfs_pool_close_conn (struct cfs_pooled_conn *conn);
 
 /**
- * cfs_pool_choose() - the instance that is likely to answer first
+ * cfs_pool_choose() - the instance with the lowest expected latency
  * @service: name of the group
- * @min_position: position that its log must hold
- * @excluded: names of instances that were tried, @avoid_count of them
+ * @min_position: position that the instance's log must have reached
+ * @excluded: names of @excluded_count instances that were already tried
  *
- * Return: the target, or NULL when none may be asked now.
+ * Return: the target, or NULL if no instance is eligible at the moment.
  */
 const struct cfs_target *
 cfs_pool_choose (struct cfs_pool *pool, const char *service,
@@ -90,44 +95,50 @@
                  const char (*excluded)[CFS_NAME_MAX], size_t excluded_count,
                  int64_t now);
 
-/** cfs_pool_primary() - the instance that leads, or NULL when unknown */
+/** cfs_pool_primary() - the primary of a group, or NULL if unknown */
 const struct cfs_target *cfs_pool_primary (struct cfs_pool *pool,
                                            const char *service, int64_t now);
 
-/** cfs_pool_note_slow() - a connection to an instance does not come up */
+/** cfs_pool_note_slow() - records that connecting to an instance takes too
+ * long */
 void cfs_pool_note_slow (struct cfs_pool *pool, const char *target,
                          int64_t now);
 
-/** cfs_pool_note_overload() - an instance had no room for a statement */
+/** cfs_pool_note_overload() - records that an instance rejected a statement
+ * because of overload */
 void cfs_pool_note_overload (struct cfs_pool *pool, const char *target,
                              int64_t now);
 
-/** cfs_pool_note_not_primary() - an instance said that it does not lead */
+/** cfs_pool_note_not_primary() - records that an instance denied being the
+ * primary */
 void cfs_pool_note_not_primary (struct cfs_pool *pool, const char *target,
                                 int64_t now);
 
-/** cfs_pool_note_behind() - an instance's log lacks a position */
+/** cfs_pool_note_behind() - records that an instance's log has not reached a
+ * position */
 void cfs_pool_note_behind (struct cfs_pool *pool, const char *target,
                            const struct cfs_position *min_position,
                            int64_t now);
 
 /**
- * cfs_pool_note_stuck() - a write or commit at an instance had no answer in
- * time, or had one again
+ * cfs_pool_note_stuck() - records that a write or commit at an instance timed
+ * out, or that one succeeded again
  */
 void cfs_pool_note_stuck (struct cfs_pool *pool, const char *target,
                           bool stuck, int64_t now);
 
-/** cfs_pool_suspects() - calls @each for targets that cannot be reached */
+/** cfs_pool_suspects() - calls @each for targets that appear to have failed:
+ * unreachable, or with writes that time out */
 void cfs_pool_suspects (const struct cfs_pool *pool, int64_t now,
                         void (*each) (void *ctx, const char *target),
                         void *ctx);
 
-/** cfs_pool_idle_team() - a team with an idle link to an instance, or NULL */
+/** cfs_pool_idle_team() - a team that has an idle connection to an instance,
+ * or NULL */
 const char *cfs_pool_idle_team (const struct cfs_pool *pool,
                                 const char *target);
 
-/** cfs_pooled_conn_send() - hands statements over; each gets one reply */
+/** cfs_pooled_conn_send() - sends statements; each receives one reply */
 void cfs_pooled_conn_send (struct cfs_pooled_conn *conn,
                            const struct cfs_statement *statements,
                            size_t count, int64_t now);
@@ -135,30 +146,30 @@
 /** cfs_pooled_conn_target() - name of the instance */
 const char *cfs_pooled_conn_target (const struct cfs_pooled_conn *conn);
 
-/** cfs_pooled_conn_pending() - statements without a reply */
+/** cfs_pooled_conn_pending() - number of statements without a reply */
 unsigned cfs_pooled_conn_pending (const struct cfs_pooled_conn *conn);
 
 /**
- * cfs_pooled_conn_record_latency() - tells how long a read or write took
+ * cfs_pooled_conn_record_latency() - records the time that a statement took
  *
- * The choice of instances builds on it.
+ * cfs_pool_choose() selects instances by these measurements.
  */
 void cfs_pooled_conn_record_latency (struct cfs_pooled_conn *conn,
                                      int64_t took_us);
 
 /**
- * cfs_pooled_conn_values() - values that are set on the link
+ * cfs_pooled_conn_values() - session variables set on the connection
  *
- * The table belongs to the link and is changed by whoever holds it, together
- * with the statements that make it true.
+ * The connection owns the table.  Its user updates the table together with
+ * the statements that make the instance match it.
  */
 GHashTable *cfs_pooled_conn_values (struct cfs_pooled_conn *conn);
 
-/** cfs_pooled_conn_prepared() - names that are prepared on the link; as above
- */
+/** cfs_pooled_conn_prepared() - names of the statements prepared on the
+ * connection; same rules as for cfs_pooled_conn_values() */
 GHashTable *cfs_pooled_conn_prepared (struct cfs_pooled_conn *conn);
 
-/** cfs_pool_metrics() - appends counters */
+/** cfs_pool_metrics() - appends the pool's metrics in text form */
 void cfs_pool_metrics (const struct cfs_pool *pool, GString *out);
 
 #endif
--- a/src/connection/pool_int.h
+++ b/src/connection/pool_int.h
@@ -1,27 +1,40 @@
 /**
- * DOC: Private parts of the pool: what a host knows of an instance, shared by
- * pool.c and pool_target.c.
+ * DOC: Private declarations of the connection pool, shared by pool.c and
+ * pool_target.c: the state that a host keeps for each instance.
  */
 #ifndef CFS_POOL_INT_H
 #define CFS_POOL_INT_H
 
 #include "pool.h"
 
-/* Time without use after which what was measured is forgotten. */
+/* Measurements of an instance expire after this time without a new one. */
 #define MEASUREMENT_TTL_US (2 * CFS_US_PER_S)
 
 /**
- * struct target_state - one instance as this host sees it
- * @first_conn: links, the most recently used first
- * @conn_count: number of links
- * @opening: links that are not up yet
- * @pending: statements without a reply, over all links
- * @latency_us: moving average of the time to an answer
- * @refused_at: when a connection was refused for lack of room
- * @load_pause: backoff of an instance that refuses work, 0 when it takes it
- * @load_until: end of that pause
- * @behind: position that its log lacked until @behind_until
- * @stuck_at: when a write or commit had no answer in time
+ * struct target_state - this host's view of one instance
+ * @id: name of the target
+ * @first_conn: connections, most recently used first
+ * @conn_count: number of connections
+ * @opening: number of connections not established yet
+ * @pending: statements without a reply, over all connections
+ * @latency_us: moving average of the response time
+ * @measured_at: time of the last sample in @latency_us
+ * @conn_refused_at: when a connection was last refused because of the
+ * connection limit or overload
+ * @overload_pause: backoff while the instance rejects work, 0 if it does not
+ * @overload_until: end of the current backoff
+ * @not_primary_until: until then, do not use the instance as primary
+ * @down_until: until then, open no connection and choose it for no read
+ * @down_pause: backoff after failed connections
+ * @replied_at: time of the last reply
+ * @failed_at: time of the last connection failure
+ * @stuck_at: time of the last timeout of a write or commit; 0 if one
+ * succeeded since
+ * @behind: position that its log is assumed to lack until @behind_until
+ * @behind_pause: backoff for reads that require @behind
+ * @opened: connections established
+ * @refused: connections refused
+ * @lost: connection failures
  */
 struct target_state
 {
@@ -58,27 +71,29 @@
   struct cfs_table states;
 };
 
-/** target_state_get() - the row of an instance, made when there is none */
+/** target_state_get() - finds or creates the state of an instance */
 struct target_state *target_state_get (struct cfs_pool *pool, const char *id);
 
-/** target_note_failure() - a connection failed or broke */
+/** target_note_failure() - records that a connection failed or broke */
 void target_note_failure (struct target_state *state, int64_t now);
 
-/** target_note_reply() - the instance said something */
+/** target_note_reply() - records that the instance replied */
 void target_note_reply (struct target_state *state, int64_t now);
 
-/** target_note_overload() - it refused work, or lets a connection wait */
+/** target_note_overload() - records that the instance rejected work or was
+ * slow to accept a connection */
 void target_note_overload (struct cfs_pool *pool, struct target_state *state,
                            int64_t now);
 
-/** target_note_latency() - it served a statement in @took_us */
+/** target_note_latency() - records that a statement took @took_us */
 void target_note_latency (struct target_state *state, int64_t took_us,
                           int64_t now);
 
-/** target_at_conn_limit() - whether it refused connections lately */
+/** target_at_conn_limit() - whether the instance recently refused connections
+ */
 bool target_at_conn_limit (const struct target_state *state, int64_t now);
 
-/** target_accepts_work() - whether it may be asked for anything new now */
+/** target_accepts_work() - whether the overload backoff allows new work now */
 bool target_accepts_work (const struct target_state *state, int64_t now);
 
 #endif
--- a/src/connection/pool_target.c
+++ b/src/connection/pool_target.c
@@ -1,37 +1,40 @@
 /*
- * What a host has learnt of an instance, and the choice between instances.
+ * Health and latency tracking of instances, and load balancing over them.
  *
- * An instance that refuses work is left alone for a pause that doubles with
- * each refusal and halves with each answer; while it lasts this host gives
- * it one thing at a time.  All hosts together thus offer little more than
- * it can do, whatever their number; attempts at a constant pace would cost
- * it the slots that it needs for work.
+ * An instance that rejects work gets no new work for a backoff that doubles
+ * with each rejection and halves with each success; until it has returned to
+ * 0, this host sends the instance one request at a time between the pauses.
+ * The load offered by all hosts together thus stays close to the capacity of
+ * the instance for any number of hosts.  Retries at a constant rate would
+ * occupy the slots that the instance needs for work.
  */
 #include "pool_int.h"
 
 #include <string.h>
 
-/* Time for which a refusal marks an instance as pressed. */
+/* For this time after a refused connection the instance counts as being at
+   its connection limit. */
 #define CONN_LIMIT_US (2 * CFS_US_PER_S)
-/* Pause after a refusal: least, most, and below what it counts as over. */
+/* Bounds of the backoff after a rejection; when halving takes it below the
+   lower bound, it ends. */
 #define OVERLOAD_PAUSE_US (20 * CFS_US_PER_MS)
 #define OVERLOAD_PAUSE_MAX_US (640 * CFS_US_PER_MS)
-/* An instance whose connections fail is passed over, doubling up to the max.
- */
+/* Backoff after a failed connection, doubling up to the maximum. */
 #define DOWN_PAUSE_US (100 * CFS_US_PER_MS)
 #define DOWN_PAUSE_MAX_US (1600 * CFS_US_PER_MS)
-/* An instance whose connections are slow to come up is passed over. */
+/* Pause after a connection took too long to establish. */
 #define SLOW_PAUSE_US (400 * CFS_US_PER_MS)
-/* A claim to lead is passed over for this time after it was denied. */
+/* For this time after an instance denied being the primary, it is not used as
+   one, even if the fleet state says that it is. */
 #define NOT_PRIMARY_US (300 * CFS_US_PER_MS)
-/* An instance that lacked a position is passed over for it this long,
-   doubling up to the max. */
+/* An instance whose log had not reached a position is not chosen for it during
+   this backoff, doubling up to the maximum. */
 #define BEHIND_US (40 * CFS_US_PER_MS)
 #define BEHIND_MAX_US (640 * CFS_US_PER_MS)
-/* Expected time to an answer where nothing is known. */
+/* Assumed latency of an instance without recent measurements. */
 #define LATENCY_SAME_REGION_US (20 * CFS_US_PER_MS)
 #define LATENCY_OTHER_REGION_US (50 * CFS_US_PER_MS)
-/* Weight of a new sample in the average, as a divisor. */
+/* Weight of a new measurement in the moving average, as a divisor. */
 #define EWMA_DIVISOR 8
 
 struct target_state *
@@ -65,7 +68,9 @@
   s->down_until = 0;
 }
 
-/* What was asked before the pause began says nothing new. */
+/* A rejection during the backoff answers a request sent before the backoff
+   began and does not extend it.  The jitter spreads the retries of the hosts.
+ */
 void
 target_note_overload (struct cfs_pool *p, struct target_state *s, int64_t now)
 {
@@ -117,7 +122,8 @@
   return false;
 }
 
-/* Microseconds until an answer is expected from a target. */
+/* Expected time to a reply from a target in microseconds: the measured
+   latency, scaled up by this host's pending statements per slot. */
 static int64_t
 expected_latency_us (struct cfs_pool *p, const struct cfs_target *t,
                      int64_t now)
--- a/src/connection/session.h
+++ b/src/connection/session.h
@@ -1,11 +1,12 @@
 /**
  * DOC: Sessions of callers.
  *
- * A session lives as long as its caller's connection.  Its values and
- * prepared names are kept here and put onto whichever link serves it.  Each
- * statement is routed by the configuration in force, admitted against the
- * team's share, given to an instance whose log is new enough, and answered
- * with what is certain about its effect.
+ * A session lives as long as its caller's connection.  The proxy keeps the
+ * session variables and prepared statements and replays them on whichever
+ * pooled connection serves the session.  Each statement is routed by the
+ * configuration in force, rate limited by the team's share and sent to an
+ * instance whose log is recent enough.  The reply claims no more about the
+ * statement's effect than is certain.
  */
 #ifndef CFS_SESSION_H
 #define CFS_SESSION_H
@@ -19,8 +20,8 @@
 /**
  * struct cfs_sessions_setup - parameters of cfs_sessions_new()
  * @fleet: configuration and targets
- * @pool: links to targets
- * @quota: shares of the teams' rates
+ * @pool: connections to targets
+ * @quota: this host's shares of the teams' rates
  */
 struct cfs_sessions_setup
 {
@@ -29,43 +30,44 @@
   struct cfs_quota *quota;
 };
 
-/** cfs_sessions_new() - freed by cfs_sessions_free() */
+/** cfs_sessions_new() - no sessions yet; freed by cfs_sessions_free() */
 struct cfs_sessions *cfs_sessions_new (const struct cfs_sessions_setup *setup);
 
-/** cfs_sessions_free() - all sessions must be gone */
+/** cfs_sessions_free() - all sessions must have been closed */
 void cfs_sessions_free (struct cfs_sessions *sessions);
 
-/** cfs_sessions_tick() - timers and waiting statements */
+/** cfs_sessions_tick() - runs timeouts and resumes waiting statements */
 void cfs_sessions_tick (struct cfs_sessions *sessions, int64_t now);
 
 /**
- * cfs_sessions_drain() - ends sessions as they come to rest
- * @rest_us: time without a statement that counts as rest
- * @abandon: also gives up transactions that are open
+ * cfs_sessions_drain() - closes idle sessions
+ * @idle_us: time without a statement after which a session is idle
+ * @abandon: also close sessions in a transaction, which is rolled back
  */
 void cfs_sessions_drain (struct cfs_sessions *sessions, int64_t idle_us,
                          bool abandon, int64_t now);
 
-/** cfs_sessions_stop_accepting() - takes no new sessions from here on */
+/** cfs_sessions_stop_accepting() - refuses new sessions from now on */
 void cfs_sessions_stop_accepting (struct cfs_sessions *sessions);
 
-/** cfs_sessions_count() - number of sessions */
+/** cfs_sessions_count() - number of open sessions */
 size_t cfs_sessions_count (const struct cfs_sessions *sessions);
 
-/** cfs_sessions_metrics() - appends counters and histograms */
+/** cfs_sessions_metrics() - appends the metrics of all sessions in text form
+ */
 void cfs_sessions_metrics (const struct cfs_sessions *sessions, GString *out);
 
 /**
- * cfs_session_open() - a caller asks for a session
- * @caller: its connection
- * @database: name that it gives
- * @key: its key, or anything on a route open to all
- * @code: set to REPLY_OK, to REPLY_BUSY with a session when this host does
- * not know enough yet: then the admitted event follows, or to why the caller
- * is refused
+ * cfs_session_open() - opens a session for a caller
+ * @caller: the caller's connection
+ * @database: database name given by the caller
+ * @key: the caller's API key; ignored on a route that needs none
+ * @code: set to REPLY_OK; or to REPLY_BUSY if the host has no configuration
+ * or no lease yet, in which case a session is returned and its admission is
+ * reported later by the admitted callback; or to the reason for the refusal
  *
- * Return: a session, ended by cfs_session_close() or by closing @caller; or
- * NULL.
+ * Return: the session, freed by cfs_session_close() or when the sessions
+ * close @caller; or NULL if the caller is refused.
  */
 struct cfs_session *cfs_session_open (struct cfs_sessions *sessions,
                                       struct cfs_caller *caller,
@@ -73,17 +75,17 @@
                                       enum cfs_reply_code *code);
 
 /**
- * cfs_session_statement() - takes the next statement
+ * cfs_session_statement() - runs the caller's next statement
  *
- * The one before has been answered.  Texts are copied.
+ * The previous statement must have been replied to.  Strings are copied.
  */
 void cfs_session_statement (struct cfs_session *session,
                             const struct cfs_statement *statement);
 
-/** cfs_session_state() - state of the session's transaction */
+/** cfs_session_state() - transaction state of the session */
 enum cfs_tx_state cfs_session_state (const struct cfs_session *session);
 
-/** cfs_session_close() - the caller left; frees the session */
+/** cfs_session_close() - frees the session of a caller that disconnected */
 void cfs_session_close (struct cfs_session *session);
 
 #endif
