--- a/src/connection/session_int.h
+++ b/src/connection/session_int.h
@@ -135,7 +135,7 @@
 {
   struct cfs_statement statements[SETUP_MAX];
   size_t count;
-  char query[PREPARED_NAME_BYTES];
+  char prepared_name[PREPARED_NAME_BYTES];
 };
 
 /** session_build_setup() - what a link needs before the statement in hand */
--- a/src/connection/session_run.c
+++ b/src/connection/session_run.c
@@ -85,15 +85,15 @@
 send_statement (struct cfs_session *s, int64_t now)
 {
   struct cfs_statement statements[2];
-  char query[PREPARED_NAME_BYTES];
+  char prepared_name[PREPARED_NAME_BYTES];
   size_t count = 1;
 
   statements[0] = s->op.statement;
   if (statements[0].verb == VERB_EXECUTE)
     {
       session_prepared_name (session_find_prepared (s, statements[0].name),
-                             query);
-      statements[0].name = query;
+                             prepared_name);
+      statements[0].name = prepared_name;
     }
   if (s->state == TX_IDLE && !s->op.writes && !session_needs_own_tx (s))
     statements[0].after = s->op.min_position;
--- a/src/connection/session_setup.c
+++ b/src/connection/session_setup.c
@@ -91,14 +91,14 @@
   if (s->op.statement.verb != VERB_EXECUTE)
     return;
   p = session_find_prepared (s, s->op.statement.name);
-  session_prepared_name (p, u->query);
-  if (g_hash_table_contains (conn_prepared, u->query))
+  session_prepared_name (p, u->prepared_name);
+  if (g_hash_table_contains (conn_prepared, u->prepared_name))
     return;
-  prepare.name = u->query;
+  prepare.name = u->prepared_name;
   prepare.arg = p->query;
   prepare.writes = p->writes;
   add_statement (u, &prepare);
-  g_hash_table_add (conn_prepared, g_strdup (u->query));
+  g_hash_table_add (conn_prepared, g_strdup (u->prepared_name));
 }
 
 static void
