--- a/src/connection/sample.c
+++ b/src/connection/sample.c
@@ -1,9 +1,9 @@
 /*
- * A ring of samples a service, spaced so that it spans the greatest age in
- * use.  A read takes the oldest sample that is young enough: it asks the
- * least of a replica.  Most samples come with the writes and transactions
- * that pass; the primary is asked for its own sake only where these are too
- * few.
+ * A ring buffer of samples per service, with a minimum distance between
+ * samples so that it spans the greatest maximum age in use.  A read takes the
+ * oldest sample that is recent enough, because that requires the least of a
+ * replica.  Most samples come from the writes and transactions of callers; the
+ * primary is queried separately only if these are too rare.
  */
 #include "sample.h"
 
@@ -13,26 +13,38 @@
 #include <string.h>
 
 #define PART "sample"
-/* Samples kept a service, and the least time between two of them. */
+/* Samples kept per service, and the minimum time between two of them. */
 #define RING_SIZE 32
 #define SPACING_US (80 * CFS_US_PER_MS)
-/* Time that may pass between the choice of a sample and the read. */
+/* Allowance for the time between the choice of a sample and the read. */
 #define MARGIN_US (150 * CFS_US_PER_MS)
-/* Part of the greatest age after which the primary is asked ahead. */
+/* The primary is queried in advance once the newest sample is older than the
+   smallest maximum age in use, divided by this. */
 #define PREFETCH_DIVISOR 2
-/* A service without reads for longer is not asked ahead. */
+/* A service without reads for longer than this is not queried in advance. */
 #define RECENT_READ_US (3 * CFS_US_PER_S)
-/* An answer that takes longer is given up. */
+/* A query without a reply for longer than this is cancelled. */
 #define QUERY_TIMEOUT_US (700 * CFS_US_PER_MS)
-/* Pause after a question that failed. */
+/* Delay after a failed query. */
 #define QUERY_RETRY_US (50 * CFS_US_PER_MS)
 
+/* Position of the primary in the reply to a request sent at requested_at. */
 struct sample
 {
   struct cfs_position position;
   int64_t requested_at;
 };
 
+/**
+ * struct service_samples - samples of one service
+ * @next: index in the ring of the next sample
+ * @last_read_at: time of the last read that needed a sample
+ * @min_max_age_us: smallest maximum age that a read asked for
+ * @team: team of the last such read
+ * @conn: connection of the query under way, or NULL
+ * @query_sent_at: when that query was sent, or its connection acquired
+ * @pause_until: no new query before this time
+ */
 struct service_samples
 {
   char service[CFS_NAME_MAX];
@@ -247,8 +259,9 @@
 
   if (r->conn && now - r->query_sent_at > QUERY_TIMEOUT_US)
     {
-      cfs_log (CFS_NOTICE, PART, "service=%s target=%s gives no position",
-               r->service, cfs_pooled_conn_target (r->conn));
+      cfs_log (CFS_NOTICE, PART,
+               "service=%s target=%s position query timed out", r->service,
+               cfs_pooled_conn_target (r->conn));
       cfs_pool_close_conn (r->conn);
       fail_query (r, now);
     }
--- a/src/connection/sample.h
+++ b/src/connection/sample.h
@@ -1,9 +1,11 @@
 /**
- * DOC: Positions of the primaries, with the time at which they were asked.
+ * DOC: Samples of the primaries' log positions, for reads with bounded
+ * staleness.
  *
- * A commit that was acknowledged before a question was sent to the true
- * primary is covered by the position in its answer.  The answer to a plain
- * BEGIN, a write or a commit that wrote proves that the instance led.
+ * A sample is a position in a reply of the primary and the time at which the
+ * request was sent.  It covers every commit that was acknowledged before that
+ * time.  The replies to a read-write BEGIN, a write, and a commit of a
+ * transaction that wrote prove that the instance was the primary.
  */
 #ifndef CFS_SAMPLE_H
 #define CFS_SAMPLE_H
@@ -12,34 +14,36 @@
 
 struct cfs_samples;
 
-/** cfs_samples_new() - no samples; freed by cfs_samples_free() */
+/** cfs_samples_new() - no samples yet; freed by cfs_samples_free() */
 struct cfs_samples *cfs_samples_new (struct cfs_pool *pool);
 
-/** cfs_samples_free() - gives up what it asked */
+/** cfs_samples_free() - cancels outstanding queries and frees the samples */
 void cfs_samples_free (struct cfs_samples *samples);
 
 /**
- * cfs_samples_add() - a position that a primary gave
- * @asked_at: when the question was sent
+ * cfs_samples_add() - records a position from a reply of the primary
+ * @requested_at: when the request was sent
  */
 void cfs_samples_add (struct cfs_samples *samples, const char *service,
                       const struct cfs_position *position,
                       int64_t requested_at);
 
 /**
- * cfs_samples_min_position() - least position that covers what a read must see
- * @max_age_us: commits acknowledged longer ago must be seen
- * @team: team on whose behalf the primary is asked when there is none
- * @out: written
+ * cfs_samples_min_position() - minimum log position of a replica for a read
+ * @max_age_us: the read must see commits acknowledged longer ago than this
+ * @team: team whose connection queries the primary if none is idle
+ * @out: the position, written on success
  *
- * Return: whether a sample is young enough; if not, the primary is asked.
+ * Return: whether a sample is recent enough; if not, the primary is queried
+ * and the caller tries again later.
  */
 bool cfs_samples_min_position (struct cfs_samples *samples,
                                const char *service, int64_t max_age_us,
                                const char *team, int64_t now,
                                struct cfs_position *out);
 
-/** cfs_samples_tick() - asks primaries ahead where reads need it */
+/** cfs_samples_tick() - queries primaries in advance for services with recent
+ * reads, and ends queries that timed out */
 void cfs_samples_tick (struct cfs_samples *samples, int64_t now);
 
 #endif
--- a/src/connection/session.c
+++ b/src/connection/session.c
@@ -1,9 +1,10 @@
 /*
- * What a caller sends is decided here as far as no instance is needed: the
- * state of its transaction, its values and prepared names, its right to the
- * route.  All else becomes the statement in hand, which session_run.c takes
- * through its phases.  BEGIN is answered here and reaches an instance with
- * the first statement, so that a pause after it holds no connection.
+ * Handles everything about a caller's statements that needs no instance:
+ * transaction state, session variables, prepared statements and
+ * authorization.  All else becomes the current statement, which
+ * session_run.c executes.  BEGIN is acknowledged by the proxy and is sent to
+ * an instance only with the first statement of the transaction, so that an
+ * idle caller does not occupy a connection after BEGIN.
  */
 #include "session_int.h"
 
@@ -14,9 +15,10 @@
 #include <string.h>
 
 #define PART "session"
-/* A statement that no instance has yet is held for this part of its time. */
+/* A statement that has not been sent to an instance is rejected after this
+   part of its timeout. */
 #define QUEUE_TIMEOUT_PERCENT 90
-/* A caller waits at most this long for its session. */
+/* Admission of a session is deferred for at most this time. */
 #define ADMISSION_TIMEOUT_US (1600 * CFS_US_PER_MS)
 
 int64_t
@@ -204,7 +206,8 @@
   cfs_pool_release (conn, now);
 }
 
-/* Whether the effect of what the instance has in hand must not be cut off. */
+/* Whether a commit or a single write is running at the instance, which closing
+   the connection could interrupt. */
 static bool
 write_in_flight (const struct cfs_session *s)
 {
@@ -224,7 +227,7 @@
   else
     session_rollback_conn (s, now);
   if (s->op.phase != OP_NONE)
-    cfs_log (CFS_INFO, PART, "id=%s database=%s the caller left, phase=%s",
+    cfs_log (CFS_INFO, PART, "id=%s database=%s caller disconnected, phase=%s",
              s->op.statement.id, s->database,
              session_phase_name (s->op.phase));
   free_session (s);
@@ -293,7 +296,7 @@
   session_reply (s, REPLY_OK, NULL);
 }
 
-/* A commit of what is lost already: nothing of it is kept. */
+/* COMMIT of a failed transaction, which was rolled back already. */
 static void
 handle_commit_of_failed (struct cfs_session *s)
 {
@@ -317,7 +320,7 @@
 
   if (!session_authorize (s, now, &code))
     {
-      session_reply (s, code, "the session may not go on");
+      session_reply (s, code, "the session is currently not authorized");
       return;
     }
   s->tx_read_only = s->op.statement.verb == VERB_BEGIN_READ;
@@ -335,7 +338,7 @@
     {
       session_rollback_conn (s, now);
       s->state = TX_FAILED;
-      session_reply (s, REPLY_ABORTED, "the key no longer holds");
+      session_reply (s, REPLY_ABORTED, "the API key is no longer valid");
       return;
     }
   start_op (s, s->tx_on_conn ? OP_CONN : OP_POSITION, now);
@@ -348,7 +351,7 @@
 
   if (!session_authorize (s, now, &code))
     {
-      session_reply (s, code, "the session may not go on");
+      session_reply (s, code, "the session is currently not authorized");
       return;
     }
   if (*s->team)
@@ -356,7 +359,7 @@
   start_op (s, OP_TOKEN, now);
 }
 
-/* Reads, writes and commits. */
+/* READ, WRITE, EXECUTE and COMMIT of an open transaction. */
 static void
 handle_data_statement (struct cfs_session *s, int64_t now)
 {
@@ -368,7 +371,8 @@
 
       if (!p)
         {
-          session_reply (s, REPLY_UNPREPARED, "the name is not prepared");
+          session_reply (s, REPLY_UNPREPARED,
+                         "prepared statement does not exist");
           return;
         }
       s->op.writes = p->writes;
@@ -398,7 +402,7 @@
   op->statement.arg = op->texts[2];
 }
 
-/* Whether a statement fits the state of the transaction. */
+/* Whether a statement is allowed in the current transaction state. */
 static bool
 allowed_in_state (const struct cfs_session *s, enum cfs_verb verb)
 {
@@ -423,7 +427,8 @@
   copy_statement (s, st, now);
   if (!allowed_in_state (s, st->verb))
     {
-      session_reply (s, REPLY_MALFORMED, "not allowed in this state");
+      session_reply (s, REPLY_MALFORMED,
+                     "statement not allowed in this transaction state");
       return;
     }
   switch (st->verb)
@@ -457,12 +462,12 @@
       handle_data_statement (s, now);
       break;
     default:
-      session_reply (s, REPLY_MALFORMED, "not a statement of callers");
+      session_reply (s, REPLY_MALFORMED, "statement not available to callers");
       break;
     }
 }
 
-/* A transaction whose caller says nothing is given up. */
+/* Rolls back a transaction whose caller has been idle for too long. */
 static void
 check_idle_tx (struct cfs_session *s, int64_t now)
 {
@@ -471,13 +476,15 @@
   if (s->state != TX_OPEN || !s->conn || s->op.phase != OP_NONE || !c
       || now - s->idle_since < c->transaction_idle_us)
     return;
-  cfs_log (CFS_NOTICE, PART, "database=%s team=%s idle transaction ended",
-           s->database, s->team);
+  cfs_log (CFS_NOTICE, PART,
+           "database=%s team=%s idle transaction rolled back", s->database,
+           s->team);
   session_rollback_conn (s, now);
   s->state = TX_FAILED;
 }
 
-/* Admits a session once this host knows enough, or refuses it. */
+/* Admits a session once this host has a configuration and a lease, or refuses
+   it. */
 static void
 check_admission (struct cfs_session *s, int64_t now)
 {
--- a/src/connection/session_int.h
+++ b/src/connection/session_int.h
@@ -1,6 +1,6 @@
 /**
- * DOC: Private parts of sessions, shared by session.c, session_run.c,
- * session_build_setup.c and session_stats.c.
+ * DOC: Private declarations of sessions, shared by session.c, session_run.c,
+ * session_setup.c and session_stats.c.
  */
 #ifndef CFS_SESSION_INT_H
 #define CFS_SESSION_INT_H
@@ -8,18 +8,19 @@
 #include "sample.h"
 #include "session.h"
 
-/* Instances that one statement is tried at before it starts over. */
+/* Failed instances that are remembered, and avoided, per statement. */
 #define TRIED_MAX 8
 
 /**
- * enum op_phase - what the statement in hand waits for
- * @OP_NONE: there is none
- * @OP_TOKEN: a token of the team's share
- * @OP_POSITION: a position of the primary that is young enough
- * @OP_LINK: an instance and a link to it
- * @OP_OPENING: the link to come up
- * @OP_SETUP: the link to take over values, names and the transaction
- * @OP_RUN: the instance's answer
+ * enum op_phase - what the current statement waits for
+ * @OP_NONE: there is no current statement
+ * @OP_TOKEN: a rate limit token of the team
+ * @OP_POSITION: a recent enough position of the primary
+ * @OP_CONN: an instance and a pooled connection to it
+ * @OP_OPENING: the connection to be established
+ * @OP_SETUP: replies to the statements that set session variables, prepare
+ * the statement and start the transaction on the connection
+ * @OP_RUN: the reply of the instance to the statement itself
  */
 enum op_phase
 {
@@ -33,16 +34,24 @@
 };
 
 /**
- * struct op - the statement in hand
- * @hold_until: when it is refused if no instance has it yet
- * @deadline: when it is given up
- * @retry_at: not before this time
- * @setup_due: replies due before the statement itself is sent
- * @awaiting_token: counted as waiting for a token
- * @begins_tx: the last of them opens a transaction
- * @opened_at: when the link was asked to open, or the setup was sent
- * @target: the instance that was asked last
- * @min_position: position that the instance's log must hold
+ * struct op - the current statement and its progress
+ * @texts: copies of the id, name and argument of @statement
+ * @arrived: when the caller sent it
+ * @reject_at: when it is rejected if it has not been sent to an instance
+ * @deadline: when it times out if it has been sent
+ * @retry_at: earliest time of the next attempt
+ * @sent_at: when it was sent to an instance
+ * @attempts: connections acquired for it
+ * @setup_pending: setup statements without a reply; the statement itself is
+ * sent after the last of them
+ * @begins_tx: the last setup statement starts a transaction
+ * @writes: whether it writes; false for a commit
+ * @awaiting_token: counted by the quota as waiting for a token
+ * @opened_at: when the connection was acquired, or its setup was sent
+ * @min_position: position that the instance's log must have reached
+ * @tried: instances that failed to run it, @tried_count of them
+ * @target: the instance that was tried last
+ * @last_code: reason of the last failed attempt
  */
 struct op
 {
@@ -67,7 +76,7 @@
   enum cfs_reply_code last_code;
 };
 
-/** struct prepared - a name that the caller prepared */
+/** struct prepared - a prepared statement of the session */
 struct prepared
 {
   char *name;
@@ -75,7 +84,25 @@
   bool writes;
 };
 
-/** struct cfs_session - see session.h */
+/**
+ * struct cfs_session - see session.h
+ * @key: the caller's API key
+ * @values: session variables by name
+ * @prepared: prepared statements by name, see struct prepared
+ * @own_commit: position of the latest commit of the session
+ * @route: copy of the route, taken when the session was last authorized
+ * @service: name of the route's database group
+ * @team: team of the API key, "" on a route that needs no key
+ * @state: transaction state as the caller sees it
+ * @awaiting_admission: the admitted callback is outstanding
+ * @tx_read_only: the transaction was started by VERB_BEGIN_READ
+ * @tx_on_conn: the transaction has been started on @conn
+ * @tx_wrote: a write of the transaction has been sent
+ * @tx_answered: an instance has replied to a statement of the transaction,
+ * which therefore cannot be moved to another instance any more
+ * @idle_since: time of the last reply to the caller, or of the opening
+ * @conn: pooled connection in use, or NULL
+ */
 struct cfs_session
 {
   struct cfs_sessions *owner;
@@ -101,7 +128,7 @@
   struct op op;
 };
 
-/* Bounds of the latency histogram in milliseconds. */
+/* Number of bounds of the latency histogram. */
 #define LATENCY_BUCKETS 10
 
 /** struct session_stats - counters of all sessions */
@@ -113,7 +140,10 @@
   uint64_t latency_sum_ms;
 };
 
-/** struct cfs_sessions - see session.h */
+/**
+ * struct cfs_sessions - see session.h
+ * @draining: new sessions are refused
+ */
 struct cfs_sessions
 {
   struct cfs_sessions_setup setup;
@@ -124,13 +154,13 @@
   struct session_stats stats;
 };
 
-/* Bound of statements that prepare a link. */
+/* Bound of the setup statements sent on a connection at once. */
 #define SETUP_MAX 64
-/* Room for the name of a prepared shape. */
+/* Size of the name of a statement prepared on a pooled connection. */
 #define PREPARED_NAME_BYTES 24
 
-/** struct conn_setup - statements that bring a link into the session's state
- */
+/** struct conn_setup - statements that bring a connection into the session's
+ * state */
 struct conn_setup
 {
   struct cfs_statement statements[SETUP_MAX];
@@ -138,72 +168,82 @@
   char prepared_name[PREPARED_NAME_BYTES];
 };
 
-/** session_build_setup() - what a link needs before the statement in hand */
+/** session_build_setup() - collects the statements that the connection needs
+ * before the current statement */
 void session_build_setup (struct cfs_session *session,
                           struct conn_setup *setup);
 
-/** session_prepared_name() - name under which links know a shape
+/**
+ * session_prepared_name() - name of a prepared statement on pooled connections
  * @out: PREPARED_NAME_BYTES bytes, written
+ *
+ * The name is a hash of the statement, so all sessions share it.
  */
 void session_prepared_name (const struct prepared *prepared, char *out);
 
-/** session_needs_primary() - whether only the primary can run the statement
- */
+/** session_needs_primary() - whether the statement must run on the primary */
 bool session_needs_primary (const struct cfs_session *session);
 
-/** session_needs_own_tx() - whether the statement runs inside a transaction
- * that we open for it */
+/** session_needs_own_tx() - whether the proxy wraps the statement in a
+ * transaction, see session_run.c */
 bool session_needs_own_tx (const struct cfs_session *session);
 
-/** session_phase_name() - stable name for logs */
+/** session_phase_name() - name of a phase in log lines */
 const char *session_phase_name (enum op_phase phase);
 
-/** session_count_latency() - counts a statement that an instance ran */
+/** session_count_latency() - adds a statement to the latency histogram */
 void session_count_latency (struct cfs_sessions *sessions, int64_t took_us);
 
-/** session_log_statement() - the line at the end of a statement */
+/** session_log_statement() - writes the log line of a finished statement */
 void session_log_statement (const struct cfs_session *session,
                             enum cfs_reply_code code, int64_t now);
 
-/** session_now() - the time at events */
+/** session_now() - current time by the pool's clock, for use in callbacks */
 int64_t session_now (const struct cfs_session *session);
 
-/** session_run() - goes on with the statement in hand */
+/** session_run() - advances the current statement as far as possible */
 void session_run (struct cfs_session *session, int64_t now);
 
-/** session_check_timeouts() - gives up what has waited too long */
+/** session_check_timeouts() - ends or retries a statement that timed out, else
+ * advances it */
 void session_check_timeouts (struct cfs_session *session, int64_t now);
 
 /**
- * session_reply() - answers the statement in hand; nothing of it is left
- * @code: how it ended
- * @text: what an error says
+ * session_reply() - replies to the current statement and clears it
+ * @code: result
+ * @text: error message, or NULL
  */
 void session_reply (struct cfs_session *session, enum cfs_reply_code code,
                     const char *text);
 
-/** session_forward_reply() - the same with an instance's reply */
+/** session_forward_reply() - the same with a reply of an instance */
 void session_forward_reply (struct cfs_session *session,
                             const struct cfs_reply *reply);
 
-/** session_rollback_conn() - gives the link up; what is open on it rolls back
- */
+/** session_rollback_conn() - releases the connection after a rollback of its
+ * transaction, or closes it if replies are outstanding */
 void session_rollback_conn (struct cfs_session *session, int64_t now);
 
-/** session_set_awaiting_token() - the statement in hand waits for a token, or
- * no longer */
+/** session_set_awaiting_token() - tells the quota whether the statement waits
+ * for a token */
 void session_set_awaiting_token (struct cfs_session *session,
                                  bool awaiting_token);
 
-/** session_authorize() - whether route and key hold; else why not */
+/**
+ * session_authorize() - checks the API key against the route
+ * @code: set to REPLY_OK or to the reason for the refusal
+ *
+ * Updates the session's route, service and team.
+ */
 bool session_authorize (struct cfs_session *session, int64_t now,
                         enum cfs_reply_code *code);
 
-/** session_key_valid() - whether the key still stands for the same team, by a
- * configuration that may be acted on */
+/** session_key_valid() - whether the API key still belongs to the session's
+ * team, by a configuration that the host's lease allows it to use */
 bool session_key_valid (const struct cfs_session *session, int64_t now);
 
-/** session_find_prepared() - what a name stands for, or NULL */
+/** session_find_prepared() - the session's prepared statement of that name, or
+ * NULL */
 const struct prepared *
 session_find_prepared (const struct cfs_session *session, const char *name);
 
--- a/src/connection/session_run.c
+++ b/src/connection/session_run.c
@@ -1,13 +1,13 @@
 /*
- * A statement goes through phases: a token, a position, an instance, a link
- * in the right state, the run.  Until it has been sent it may start over at
- * another instance.  Once sent, only what an instance says for certain is
- * passed on as certain: a commit or a single write without an answer may
- * have taken effect.
+ * A statement passes through phases: it obtains a rate limit token, a minimum
+ * position, an instance, and a pooled connection in the session's state, and
+ * is then executed.  Until it has been sent it may be retried at another
+ * instance.  After that, only a definite reply of an instance gives a definite
+ * result: a commit or a single write without a reply may have taken effect.
  *
- * An instance that was replaced as primary answers a plain read with old
- * data and does not know it.  Reads of the latest state therefore run inside
- * a transaction that may write: a former primary refuses that.
+ * A former primary that does not know of its replacement answers a plain read
+ * with stale data.  Reads on routes with CONSISTENCY_LATEST therefore run
+ * inside a read-write transaction, which a former primary refuses to start.
  */
 #include "session_int.h"
 
@@ -18,17 +18,18 @@
 #include <string.h>
 
 #define PART "run"
-/* Pauses before a statement is tried again. */
+/* Delays before a statement is retried. */
 #define NO_TARGET_RETRY_US (10 * CFS_US_PER_MS)
 #define TOKEN_RETRY_US (5 * CFS_US_PER_MS)
 #define BUSY_RETRY_US (15 * CFS_US_PER_MS)
-/* A read goes elsewhere when a connection is not up by then. */
+/* A read is retried at another instance if a connection is not established
+   within this time. */
 #define READ_OPEN_TIMEOUT_US (350 * CFS_US_PER_MS)
 #define REJECT_TEXT_BYTES 96
-/* Told to callers whose statement was not run. */
+/* Retry delay suggested to callers whose statement was not run. */
 #define RETRY_AFTER_MS 200
 
-/* The transaction of the caller cannot go on; nothing of it is kept. */
+/* Fails the caller's transaction, which is rolled back. */
 static void
 fail_transaction (struct cfs_session *s, const char *text, int64_t now)
 {
@@ -39,14 +40,15 @@
   session_reply (s, REPLY_ABORTED, text);
 }
 
-/* No instance has the statement: it has certainly not run. */
+/* Rejects a statement that has not been sent to an instance and so has
+   certainly not run. */
 static void
 reject_not_run (struct cfs_session *s, int64_t now)
 {
   char text[REJECT_TEXT_BYTES];
 
   g_snprintf (text, sizeof text, "not run (%s), retry in %d ms",
-              s->op.phase == OP_TOKEN ? "over the team's rate"
+              s->op.phase == OP_TOKEN ? "team rate limit exceeded"
                                       : cfs_reply_name (s->op.last_code),
               RETRY_AFTER_MS);
   if (s->state == TX_OPEN)
@@ -58,7 +60,8 @@
     }
 }
 
-/* The instance does not answer in time, or the link broke. */
+/* Ends a statement that has been sent but has no usable reply: it timed out,
+   the connection broke, or the reply was not conclusive. */
 static void
 fail_statement (struct cfs_session *s, enum cfs_reply_code code,
                 const char *text, int64_t now)
@@ -80,7 +83,8 @@
   session_reply (s, code, text);
 }
 
-/* The statement itself; one of ours that wraps it ends with it. */
+/* Sends the statement, followed by the end of the proxy's own transaction if
+   there is one. */
 static void
 send_statement (struct cfs_session *s, int64_t now)
 {
@@ -127,7 +131,7 @@
     {
       cfs_pool_close_conn (s->conn);
       s->conn = NULL;
-      session_reply (s, REPLY_FAILED, "too many values");
+      session_reply (s, REPLY_FAILED, "too many session variables");
       return;
     }
   if (u.count == 0)
@@ -148,7 +152,7 @@
     cfs_copy (op->tried[op->tried_count++], CFS_NAME_MAX, target);
 }
 
-/* An instance for the statement, or NULL when it must wait. */
+/* The instance to run the statement, or NULL if none is available now. */
 static const struct cfs_target *
 choose_target (struct cfs_session *s, int64_t now)
 {
@@ -293,7 +297,7 @@
   op->phase = OP_POSITION;
   op->retry_at = now + pause_us;
   cfs_log (CFS_INFO, PART,
-           "id=%s database=%s starts over after code=%s "
+           "id=%s database=%s retrying statement after code=%s "
            "attempts=%u",
            op->statement.id, s->database, cfs_reply_name (why), op->attempts);
   if (now >= op->reject_at)
@@ -310,7 +314,8 @@
   if (op->phase == OP_RUN)
     {
       if (now >= op->deadline)
-        fail_statement (s, REPLY_TIMEOUT, "no answer in time", now);
+        fail_statement (s, REPLY_TIMEOUT,
+                        "the instance did not reply within the timeout", now);
       return;
     }
   if (now >= op->reject_at)
@@ -373,7 +378,9 @@
           s->tx_on_conn = false;
         }
       if (s->state == TX_OPEN && s->tx_answered)
-        fail_transaction (s, "the transaction was lost", now);
+        fail_transaction (
+            s, "connection setup failed, the transaction was rolled back",
+            now);
       else
         retry (s, r->code, 0, now);
       return;
@@ -419,7 +426,8 @@
 
   if (!r->proof)
     {
-      fail_statement (s, REPLY_FAILED, "the instance gave no proof", now);
+      fail_statement (s, REPLY_FAILED,
+                      "the instance gave no proof of execution", now);
       return;
     }
   cfs_pooled_conn_record_latency (s->conn, now - s->op.sent_at);
@@ -449,7 +457,7 @@
          || code == REPLY_UNPREPARED || code == REPLY_NO_CONNECTION;
 }
 
-/* An error inside the caller's transaction. */
+/* An error reply inside the caller's transaction. */
 static void
 handle_tx_error (struct cfs_session *s, const struct cfs_reply *r, int64_t now)
 {
@@ -458,7 +466,8 @@
   if (commit && s->tx_wrote && !means_not_run (r->code)
       && r->code != REPLY_ABORTED)
     {
-      fail_statement (s, REPLY_UNKNOWN, "the commit has no clear answer", now);
+      fail_statement (s, REPLY_UNKNOWN,
+                      "the reply to the commit is not conclusive", now);
       return;
     }
   if (r->code == REPLY_BUSY && r->state == TX_OPEN
@@ -477,8 +486,9 @@
   fail_transaction (s, "the transaction was rolled back", now);
 }
 
-/* An error of a statement outside the caller's transactions.  What we sent
-   behind it ends our own transaction, so the link can go back at once. */
+/* An error reply outside a transaction of the caller.  If the proxy wrapped
+   the statement in a transaction, the ROLLBACK that ends it was sent already,
+   so the connection can be released immediately. */
 static void
 handle_single_error (struct cfs_session *s, const struct cfs_reply *r,
                      int64_t now)
@@ -518,7 +528,8 @@
     handle_setup_reply (s, r);
   else if (s->op.phase != OP_RUN)
     {
-      cfs_log (CFS_WARNING, PART, "target=%s an answer without a question",
+      cfs_log (CFS_WARNING, PART,
+               "target=%s unexpected reply, closing the connection",
                cfs_pooled_conn_target (s->conn));
       cfs_pool_close_conn (s->conn);
       s->conn = NULL;
--- a/src/connection/session_setup.c
+++ b/src/connection/session_setup.c
@@ -1,7 +1,7 @@
 /*
- * Brings a link into the state of a session: its values, the shape of a
- * prepared statement under a name that is the same for all sessions, the
- * transaction.
+ * Brings a pooled connection into the state of a session: session variables,
+ * the prepared statement, under a name that is the same for all sessions, and
+ * the transaction.
  */
 #include "session_int.h"
 
@@ -16,7 +16,6 @@
   return s->state == TX_OPEN && !s->tx_read_only;
 }
 
-/* Whether the statement runs inside a transaction that we open for it. */
 bool
 session_needs_own_tx (const struct cfs_session *s)
 {
@@ -39,7 +38,8 @@
     u->statements[u->count++] = *statement;
 }
 
-/* A link that carries a value which the session does not have starts anew. */
+/* A connection on which a variable is set that the session does not have is
+   reset: there is no statement that unsets a single variable. */
 static void
 add_reset (struct cfs_session *s, struct conn_setup *u)
 {
--- a/src/connection/session_stats.c
+++ b/src/connection/session_stats.c
@@ -1,6 +1,6 @@
 /*
- * What is told of sessions: the line at the end of each statement, counters
- * and the histogram of latencies.
+ * Monitoring of sessions: the log line of each statement, counters and the
+ * latency histogram.
  */
 #include "session_int.h"
 
--- a/src/connection/token.c
+++ b/src/connection/token.c
@@ -1,7 +1,7 @@
 /*
- * Text form: base64url of "team\ngroup term position\n..." followed by an
- * authenticator of 32 bytes.  Plain text inside keeps it easy to inspect;
- * secrecy is not needed, integrity is.
+ * A token is base64url of "team\ngroup term position\n...", followed by a
+ * message authentication code of 32 bytes.  The content is plain text, so that
+ * it is easy to inspect; it needs integrity but no confidentiality.
  */
 #include "token.h"
 
@@ -41,7 +41,7 @@
                      BASE64_VARIANT);
 }
 
-/* Parses "group term position"; @line is terminated. */
+/* Parses "group term position"; modifies line. */
 static bool
 parse_entry (char *line, struct cfs_token_entry *e)
 {
