--- a/src/connection/http.c
+++ b/src/connection/http.c
@@ -1,7 +1,7 @@
 /*
- * libmicrohttpd with its own epoll descriptor, driven from our loop: one
- * thread serves all connections, so nothing here is locked.  A body over
- * the limit is read and thrown away, and answered once it ended.
+ * libmicrohttpd with an epoll descriptor of its own, driven by the event loop:
+ * one thread serves all connections, so no locks are needed.  A body over the
+ * size limit is read to its end and discarded before the error response.
  */
 #include "http.h"
 
@@ -17,6 +17,16 @@
 #define COOKIE_NAME "coltsfootstage-session"
 #define HTTP_TOO_LARGE 413
 
+/**
+ * struct cfs_http_request - see http.h
+ * @len: length of the body received so far
+ * @cap: size allocated for it
+ * @too_large: the body exceeds the limit
+ * @dispatched: the request handler has been called
+ * @suspended: the connection is suspended until the response
+ * @aborted: the connection ended before the response; freed by
+ * cfs_http_respond()
+ */
 struct cfs_http_request
 {
   struct cfs_http *http;
--- a/src/connection/http.h
+++ b/src/connection/http.h
@@ -1,8 +1,9 @@
 /**
  * DOC: HTTP/1.1 server for callers, targets and operators.
  *
- * Runs libmicrohttpd inside the loop of one thread.  A call is handed out
- * once its body is whole, and its connection is suspended until the answer.
+ * Runs libmicrohttpd in the event loop of one thread.  A request is passed to
+ * its handler once the body is complete; its connection is suspended until
+ * the response is available.
  */
 #ifndef CFS_HTTP_H
 #define CFS_HTTP_H
@@ -13,13 +14,17 @@
 
 struct cfs_http;
 
-/** struct cfs_http_request - one HTTP request; owned by the server */
+/** struct cfs_http_request - a request and its response; owned by the server
+ */
 struct cfs_http_request;
 
 /**
  * struct cfs_http_setup - parameters of cfs_http_new()
- * @certificate: TLS certificate in PEM, or NULL for plain HTTP
- * @request: a whole request; to be answered exactly once, at any time
+ * @certificate: TLS certificate in PEM format, or NULL for plain HTTP
+ * @key: private key of the certificate in PEM format
+ * @request: called for each complete request, which must be responded to
+ * exactly once, in the call or later
+ * @ctx: passed to @request
  */
 struct cfs_http_setup
 {
@@ -33,7 +38,12 @@
   void *ctx;
 };
 
-/** struct cfs_http_response - what goes back; texts are copied */
+/**
+ * struct cfs_http_response - a response; strings are copied
+ * @type: content type, NULL for JSON
+ * @session: session token for the Session and Set-Cookie headers, or NULL
+ * @retry_after: seconds for the Retry-After header, 0 for none
+ */
 struct cfs_http_response
 {
   unsigned status;
@@ -45,26 +55,31 @@
   unsigned retry_after;
 };
 
-/** cfs_http_new() - listens; NULL with @error set when it cannot */
+/** cfs_http_new() - starts listening; returns NULL with @error set on failure
+ */
 struct cfs_http *cfs_http_new (const struct cfs_http_setup *setup,
                                GError **error);
 
-/** cfs_http_free() - closes all connections; answers still due are dropped */
+/** cfs_http_free() - closes all connections; responses not yet sent are
+ * dropped
+ */
 void cfs_http_free (struct cfs_http *http);
 
-/** cfs_http_pump() - moves data; to be called before each wait */
+/** cfs_http_pump() - processes pending I/O; call it before each wait of the
+ * event loop */
 void cfs_http_pump (struct cfs_http *http);
 
-/** cfs_http_quiesce() - takes no new connections */
+/** cfs_http_quiesce() - stops accepting connections */
 void cfs_http_quiesce (struct cfs_http *http);
 
-/** cfs_http_open_requests() - calls whose answer is not wholly sent */
+/** cfs_http_open_requests() - number of requests whose response is not yet
+ * sent completely */
 size_t cfs_http_open_requests (const struct cfs_http *http);
 
 /** cfs_http_request_method() - such as "GET" */
 const char *cfs_http_request_method (const struct cfs_http_request *request);
 
-/** cfs_http_request_path() - path without query */
+/** cfs_http_request_path() - path without the query string */
 const char *cfs_http_request_path (const struct cfs_http_request *request);
 
 /** cfs_http_request_header() - value of a header, or NULL */
@@ -75,10 +90,11 @@
 const char *cfs_http_request_cookie (const struct cfs_http_request *request,
                                      const char *name);
 
-/** cfs_http_request_body() - terminated body, "" when there is none */
+/** cfs_http_request_body() - null-terminated body, "" if there is none */
 const char *cfs_http_request_body (const struct cfs_http_request *request);
 
-/** cfs_http_respond() - answers; @call must not be used afterwards */
+/** cfs_http_respond() - sends the response; @request must not be used
+ * afterwards */
 void cfs_http_respond (struct cfs_http_request *request,
                        const struct cfs_http_response *response);
 
--- a/src/connection/pg.c
+++ b/src/connection/pg.c
@@ -1,11 +1,11 @@
 /*
  * Each kind of work is a short list of steps sent as one libpq pipeline, so
- * a statement costs one round trip and a keyed write two.  A read takes the
- * position before its statement, which proves what the data includes, and
- * after it, which proves what they cannot include.  A keyed write records its
- * key first; the record's unique index aborts the rest of the pipeline when
- * the key was used before.  Until the pipeline that holds COMMIT is handed to
- * the socket, a lost connection means that nothing happened.
+ * a statement takes one round trip and a write with an idempotency key two.  A
+ * read queries the position before its statement, as a lower bound of what the
+ * data includes, and after it, as an upper bound.  A write with a key records
+ * the key first; the unique index of these records aborts the rest of the
+ * pipeline if the key was used before.  If the connection is lost before the
+ * pipeline with COMMIT is handed to the socket, the work has had no effect.
  */
 #include "pg.h"
 
@@ -37,7 +37,8 @@
     "$1 AND key = $2",
 };
 
-/* One statement of a pipeline. */
+/* One statement of a pipeline; STEP_POSITION_AFTER is the position query after
+   the statement of a read. */
 enum step
 {
   STEP_BEGIN,
@@ -61,7 +62,9 @@
   CONN_RUNNING
 };
 
-/* What the pipeline under way is for. */
+/* Purpose of the pipeline in progress: the work itself; storing the result of
+   a write with a key; fetching the stored result after the key was found to
+   exist; rolling back after an error. */
 enum stage
 {
   STAGE_WORK,
@@ -70,6 +73,21 @@
   STAGE_ROLLBACK
 };
 
+/**
+ * struct pg_conn - a connection and its work
+ * @probe: reserved for the probes and promotions of instance @inst
+ * @pq: libpq connection
+ * @watch: handle of the event loop for @fd
+ * @started_at: when the connect or the probe was started
+ * @step_at: number of steps whose results have been read
+ * @commit_sent: COMMIT was sent, so the work may have taken effect
+ * @error: message of the first error, @sqlstate its code
+ * @result_found: a stored result exists for the idempotency key
+ * @digest_differs: it belongs to another request
+ * @promote_term: term of a pending promotion, 0 for none
+ * @term_text: that term as the text of a parameter
+ * @failed: failed immediately, to be reported by cfs_pg_report_failures()
+ */
 struct pg_conn
 {
   struct cfs_pg *pg;
@@ -100,6 +118,12 @@
   bool failed;
 };
 
+/**
+ * struct cfs_pg - see pg.h
+ * @conns: connections by the gate's index, then one probe connection per
+ * instance
+ * @conn_used: one more than the highest index that the gate has used
+ */
 struct cfs_pg
 {
   struct cfs_pg_setup setup;
@@ -406,7 +430,7 @@
                       && PQgetvalue (res, 0, 3)[0] == 't';
 }
 
-/* What a read may have seen at most, and the history that it is part of. */
+/* Upper bound of what a read may have seen, and the term it belongs to. */
 static void
 take_position_after (struct pg_conn *c, const PGresult *res)
 {
@@ -436,7 +460,7 @@
   if (c->error)
     return;
   cfs_copy (c->sqlstate, sizeof c->sqlstate, state ? state : "XX000");
-  c->error = cfs_strdup (text ? text : "the connection failed");
+  c->error = cfs_strdup (text ? text : "connection to the instance failed");
 }
 
 static void
@@ -465,7 +489,8 @@
         {
           cfs_copy (c->sqlstate, sizeof c->sqlstate, "25P02");
           free (c->error);
-          c->error = cfs_strdup ("the transaction had failed");
+          c->error = cfs_strdup (
+              "the transaction had already failed and was rolled back");
         }
       break;
     case PGRES_PIPELINE_ABORTED:
@@ -476,7 +501,8 @@
     }
 }
 
-/* Hands the result to the gate, which may give the link new work at once. */
+/* Passes the result to the gate, which may start new work on the connection
+   from within the call. */
 static void
 report_result (struct pg_conn *c, enum cfs_work_status ran, bool clean)
 {
@@ -507,7 +533,8 @@
   return status == PQTRANS_IDLE;
 }
 
-/* The first pipeline of single work failed: decide what comes next. */
+/* A pipeline failed: fetches the stored result if the idempotency key exists
+   already, else rolls back. */
 static void
 after_error (struct pg_conn *c)
 {
@@ -599,8 +626,8 @@
     }
 }
 
-/* Reads what has arrived.  Invariant: step_at results of the pipeline under
-   way were taken. */
+/* Reads the results that have arrived.  Invariant: the results of step_at
+   steps of the pipeline in progress have been processed. */
 static void
 read_results (struct pg_conn *c)
 {
@@ -627,7 +654,8 @@
     finish_pipeline (c);
 }
 
-/* The connection ended.  The gate hears what may have taken effect. */
+/* The connection failed.  Tells the gate whether the work in progress may have
+   taken effect. */
 static void
 conn_failed (struct pg_conn *c)
 {
@@ -669,7 +697,7 @@
     flush_conn (c);
 }
 
-/* Calls a function on each link that was ever used. */
+/* Calls a function for each connection that was ever used. */
 static void
 each_conn (struct cfs_pg *pg, void (*apply) (struct pg_conn *c, int64_t now),
            int64_t now)
--- a/src/connection/pg_result.c
+++ b/src/connection/pg_result.c
@@ -1,6 +1,6 @@
 /*
- * Values travel as texts, as the target sent them, so no number loses
- * precision on its way through JSON.
+ * Values are passed on as strings, as the target sent them, so that no number
+ * loses precision in JSON.
  */
 #include "pg_result.h"
 
