--- a/src/process/control.c
+++ b/src/process/control.c
@@ -1,8 +1,8 @@
 /*
- * The adapter between the replicated log and the outside.  Commands of
- * operators are proposed once and answered from the replicated table of
- * first answers, so a patch that was sent again, to whichever leader, gets
- * the same answer.
+ * Connects the replicated log to disk, network and operators.  A patch is
+ * proposed unless the replicated table of results has its request id, and
+ * the reply comes from that table, so a patch that is sent again, to whichever
+ * leader, gets the same reply.
  */
 #include "control_int.h"
 
@@ -35,7 +35,7 @@
   int rc = cfs_disk_append (c->disk, entries, count);
 
   if (rc != CFS_OK)
-    cfs_log (CFS_ERR, PART, "cannot append to the log, status %d", rc);
+    cfs_log (CFS_ERR, PART, "cannot write log entries to disk, status %d", rc);
   return rc;
 }
 
@@ -108,12 +108,14 @@
   const struct cfs_version *v;
 
   if (cfs_state_apply (&c->state, e->data, e->len, e->index) != CFS_OK)
-    cfs_log (CFS_ERR, PART, "entry %" PRIu64 " is unknown", e->index);
+    cfs_log (CFS_ERR, PART, "log entry %" PRIu64 " cannot be decoded",
+             e->index);
   if (c->state.version <= c->audited_version || c->state.version_count == 0)
     return;
   v = &c->state.versions[c->state.version_count - 1];
   write_audit (c, v);
-  cfs_log (CFS_NOTICE, PART, "version %" PRIu64 " accepted from %s", v->number,
+  cfs_log (CFS_NOTICE, PART,
+           "configuration version %" PRIu64 " accepted from %s", v->number,
            v->who);
 }
 
@@ -123,7 +125,7 @@
   struct cfs_control *c = ctx;
 
   if (cfs_state_restore (&c->state, data, len) != CFS_OK)
-    cfs_log (CFS_ERR, PART, "the snapshot cannot be read");
+    cfs_log (CFS_ERR, PART, "the snapshot cannot be decoded");
 }
 
 static size_t
@@ -199,7 +201,8 @@
   cJSON_Delete (doc);
 }
 
-/* Answers a pending patch when it can be.  Returns whether it was. */
+/* Replies to a patch once it is refused or in force, or when the time-out has
+   passed or leadership is lost.  Returns whether it has replied. */
 static bool
 finish_patch (struct cfs_control *c, const struct pending_patch *p, bool ready,
               int64_t now)
@@ -499,7 +502,8 @@
   return c->net != NULL;
 }
 
-/* A member of the first start prepares its empty folder by itself. */
+/* On the first start of the control group, an initial member prepares its
+   empty data folder itself. */
 static bool
 prepare_folder (const struct cfs_settings *s, GError **error)
 {
@@ -536,7 +540,8 @@
   if (boot.snapshot.members.count == 0)
     {
       if (boot.count == 0)
-        cfs_log (CFS_NOTICE, PART, "the data folder is new; asks to join");
+        cfs_log (CFS_NOTICE, PART,
+                 "data folder is new, requesting to join the control group");
       bootstrap_members (settings, &boot.snapshot.members);
     }
   c->audited_version = cfs_disk_last_audited_version (c->disk);
@@ -571,8 +576,8 @@
     return;
   c->logged_role = role;
   cfs_log (CFS_NOTICE, PART,
-           role == RAFT_LEADER ? "leads in term %" PRIu64
-                               : "no longer leads in term %" PRIu64,
+           role == RAFT_LEADER ? "became leader in term %" PRIu64
+                               : "is no longer leader in term %" PRIu64,
            cfs_raft_term (c->raft));
 }
 
--- a/src/process/control.h
+++ b/src/process/control.h
@@ -1,6 +1,7 @@
 /**
  * DOC: A control host: the replicated log with its disk and network, the
- * leader's decisions, and calls of operators.  Lives in the control thread.
+ * decisions of the leader, and requests of operators.  Runs in the control
+ * thread.
  */
 #ifndef CFS_CONTROL_H
 #define CFS_CONTROL_H
@@ -13,15 +14,16 @@
 
 #include <glib.h>
 
-/* An accepted patch is answered at the latest after this time. */
+/* Maximum delay of the reply to an accepted patch, which waits until the patch
+   is in force. */
 #define IN_FORCE_WAIT_US (4 * CFS_US_PER_S)
 
 /**
- * enum cfs_operator_kind - calls of operators
- * @OPERATOR_CONFIG: the document and its version
- * @OPERATOR_PATCH: a merge patch against a numbered version
- * @OPERATOR_AUDIT: who changed what, when
- * @OPERATOR_STATUS: members, hosts, leases, groups
+ * enum cfs_operator_kind - requests of operators
+ * @OPERATOR_CONFIG: returns the configuration document and its version
+ * @OPERATOR_PATCH: applies a merge patch to a given version
+ * @OPERATOR_AUDIT: returns who changed the configuration, how and when
+ * @OPERATOR_STATUS: returns members, hosts, leases and groups
  */
 enum cfs_operator_kind
 {
@@ -34,11 +36,11 @@
 struct cfs_control;
 
 /**
- * cfs_control_new() - opens the disk and the port, and starts the log
- * @settings: settings of a control host, must outlive it
+ * cfs_control_new() - opens disk and port, and starts the replicated log
+ * @settings: settings of a control host; must outlive the result
  * @zmq: ZeroMQ context
  * @loop: loop of the control thread
- * @error: set when the disk is damaged or the port is taken
+ * @error: set when the data folder is damaged or the port is in use
  *
  * Return: freed by cfs_control_free(), or NULL.
  */
@@ -49,36 +51,38 @@
 /** cfs_control_free() - closes files and sockets */
 void cfs_control_free (struct cfs_control *control);
 
-/** cfs_control_tick() - timers; at least every 20 ms */
+/** cfs_control_tick() - runs timers; call at least every 20 ms */
 void cfs_control_tick (struct cfs_control *control, int64_t now);
 
 /**
- * cfs_control_leave() - asks the group for a replacement before a stop
+ * cfs_control_leave() - requests a replacement before a planned stop
  *
- * Return: whether it makes sense to run on until it is there.
+ * To be called repeatedly.  Return: whether to keep running until the
+ * replacement has taken over.
  */
 bool cfs_control_leave (struct cfs_control *control);
 
-/** cfs_control_pump() - handles what has arrived, before each wait */
+/** cfs_control_pump() - handles received messages; call before each wait */
 void cfs_control_pump (struct cfs_control *control);
 
-/** cfs_control_bootstrap_id() - identity of a host when a group is first
- * formed */
+/** cfs_control_bootstrap_id() - member id of a host in the initial control
+ * group, derived from its name */
 uint64_t cfs_control_bootstrap_id (const char *host);
 
 /**
- * cfs_control_format() - prepares the data folder of a first member
+ * cfs_control_format() - prepares the data folder of an initial member
  * @settings: settings of a control host
  * @error: set when the folder is in use or cannot be written
  */
 bool cfs_control_format (const struct cfs_settings *settings, GError **error);
 
 /**
- * struct cfs_control_fleet_setup - what a control host of sessions needs
- * besides
- * @documents: decodes operators' documents
- * @targets: makes connections to instances
- * @promote: orders an instance to lead; cfs_control_promotion_result() follows
+ * struct cfs_control_fleet_setup - callbacks of a control host that serves
+ * sessions
+ * @documents: decodes configuration documents of operators
+ * @targets: opens connections to targets
+ * @promote: requests the promotion of a target; the result is passed to
+ * cfs_control_promotion_result()
  */
 struct cfs_control_fleet_setup
 {
@@ -89,34 +93,37 @@
   void *ctx;
 };
 
-/** cfs_control_serve_fleet() - whole documents, targets, their primaries */
+/** cfs_control_serve_fleet() - enables configuration documents, the registry
+ * of targets and failover */
 void cfs_control_serve_fleet (struct cfs_control *control,
                               const struct cfs_control_fleet_setup *setup);
 
-/** cfs_control_promotion_result() - the answer to an order */
+/** cfs_control_promotion_result() - takes the result of a request */
 void cfs_control_promotion_result (struct cfs_control *control,
                                    const char *service, uint64_t fence,
                                    enum cfs_promotion_result result);
 
-/** cfs_control_is_leader() - whether this host may answer for the group now */
+/** cfs_control_is_leader() - whether this host is leader, confirmed by a
+ * majority */
 bool cfs_control_is_leader (const struct cfs_control *control, int64_t now);
 
-/** cfs_control_leader() - name of the leader as far as known, or "" */
+/** cfs_control_leader() - name of the known leader, or "" */
 const char *cfs_control_leader (const struct cfs_control *control);
 
-/** cfs_control_state() - replicated state; current only while it leads */
+/** cfs_control_state() - replicated state; current only at the leader */
 const struct cfs_state *cfs_control_state (const struct cfs_control *control);
 
-/** cfs_control_metrics() - appends counters of a control host */
+/** cfs_control_metrics() - appends the metrics of a control host */
 void cfs_control_metrics (const struct cfs_control *control, GString *out,
                           int64_t now);
 
 /**
- * cfs_control_put_document() - makes a checked document the configuration
- * @number: its number; one that is not higher changes nothing
- * @on_result: called once when it is committed, or when that is not known
+ * cfs_control_put_document() - proposes a validated document as configuration
+ * @number: version of the document; ignored unless higher than the current one
+ * @on_result: called once: with true when the document is committed, with
+ * false when that is not known
  *
- * Return: CFS_OK and @on_result follows; CFS_NOT_LEADER or CFS_IO without it.
+ * Return: CFS_OK if @on_result will be called, else CFS_NOT_LEADER or CFS_IO.
  */
 int cfs_control_put_document (struct cfs_control *control, uint64_t number,
                               const char *body,
@@ -124,12 +131,13 @@
                               void *tag, int64_t now);
 
 /**
- * cfs_control_report_target() - takes what a target says of itself
+ * cfs_control_report_target() - handles a target's report on itself
  * @report: all fields but @changed
- * @on_result: as above; called before the return when nothing changes
+ * @on_result: as of cfs_control_put_document(); called before the return when
+ * there is nothing to replicate
  *
- * Return: CFS_OK and @on_result follows; CFS_BAD when a later incarnation is
- * known; CFS_NOT_LEADER or CFS_IO.
+ * Return: CFS_OK if @on_result is called, else CFS_BAD when a later
+ * incarnation is known or this one has left, CFS_NOT_LEADER or CFS_IO.
  */
 int cfs_control_report_target (struct cfs_control *control,
                                const struct cfs_target *report,
@@ -137,7 +145,7 @@
                                void *tag, int64_t now);
 
 /**
- * cfs_control_remove_target() - a target says that it is gone
+ * cfs_control_remove_target() - handles a target's notice that it has left
  *
  * Return: as of cfs_control_report_target().
  */
--- a/src/process/control_client.c
+++ b/src/process/control_client.c
@@ -1,7 +1,7 @@
 /*
- * The lease is counted from the time at which the answered heartbeat was
- * sent, by the clock of this host, so no clock is ever compared with
- * another one.  A version lower than the one held is never taken.
+ * The lease is counted from when the heartbeat that was replied to was sent,
+ * by the clock of this host, so clocks of different hosts are never compared.
+ * The configuration never goes back to a lower version.
  */
 #include "control_client.h"
 
@@ -15,18 +15,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define PART "agent"
+#define PART "control_client"
+/* Interval at which a forwarded request without a reply is sent again. */
 #define REQUEST_RETRY_US (700 * CFS_US_PER_MS)
+/* The same after the host replied that it is not leader. */
 #define REQUEST_REFUSED_RETRY_US (50 * CFS_US_PER_MS)
 #define HTTP_UNAVAILABLE 503
-/* Time between heartbeats while targets are out of reach. */
+/* Interval between heartbeats while a target is unreachable. */
 #define HEARTBEAT_SUSPECT_US (100 * CFS_US_PER_MS)
-/* Silence of the control group that is told. */
+/* After this time without a reply the loss of the control group is logged. */
 #define CONTROL_LOST_US (1500 * CFS_US_PER_MS)
-/* Control hosts that are kept in mind: members and seeds. */
+/* Maximum number of known control hosts: members and seeds. */
 #define PEERS_MAX 24
 
-/* A call on its way to the leader. */
+/**
+ * struct forwarded_request - operator request without a reply so far
+ * @refused: the last host it was sent to is not leader
+ */
 struct forwarded_request
 {
   Cfs__Peer *message;
@@ -35,6 +40,15 @@
   bool refused;
 };
 
+/**
+ * struct cfs_control_client - connection to the control group
+ * @reply_received: the last heartbeat was replied to
+ * @leader: index in @peers of the host to which messages are sent
+ * @directory: log index of the newest routing data received
+ * @report: sent with each heartbeat, or NULL
+ * @uses: uses of teams for the next heartbeat, or NULL
+ * @announcements: instances for the next heartbeat
+ */
 struct cfs_control_client
 {
   const struct cfs_control_client_ops *ops;
@@ -73,7 +87,8 @@
     c->leader = 0;
 }
 
-/* Control hosts found by seeds are named by their IP number. */
+/* Control hosts that were found through seeds have their IP address as
+   name. */
 static void
 add_peer (struct cfs_control_client *c, const char *name)
 {
@@ -103,7 +118,7 @@
   select_next_host (c);
 }
 
-/* The members replace what is known besides the seeds. */
+/* Replaces all known control hosts but the seeds with the members. */
 static void
 update_peers (struct cfs_control_client *c, const Cfs__HeartbeatReply *r)
 {
@@ -161,7 +176,7 @@
   c->announcement_count = 0;
 }
 
-/* All announced instances since the last heartbeat, as one list. */
+/* Lists all instances that were announced since the last heartbeat. */
 static Cfs__Instance **
 collect_instances (const struct cfs_control_client *c, size_t *count)
 {
@@ -178,24 +193,25 @@
   return list;
 }
 
-/* One line when the control group stops answering, and one when it is back.
- */
+/* Logs once when the control group stops replying; record_reply() logs when it
+   replies again. */
 static void
 log_control_lost (struct cfs_control_client *c, int64_t now)
 {
   if (c->control_lost || now - c->last_reply_at < CONTROL_LOST_US)
     return;
   c->control_lost = true;
-  cfs_log (CFS_WARNING, PART,
-           "control group lost, last asked host=%s silent_ms=%" PRId64,
-           c->peers[c->leader].host, (now - c->last_reply_at) / CFS_US_PER_MS);
+  cfs_log (
+      CFS_WARNING, PART,
+      "no reply from the control group, last tried host=%s silent_ms=%" PRId64,
+      c->peers[c->leader].host, (now - c->last_reply_at) / CFS_US_PER_MS);
 }
 
 static void
 record_reply (struct cfs_control_client *c, int64_t now)
 {
   if (c->control_lost)
-    cfs_log (CFS_NOTICE, PART, "control group is back, leader=%s",
+    cfs_log (CFS_NOTICE, PART, "control group replies again, leader=%s",
              c->peers[c->leader].host);
   c->control_lost = false;
   c->last_reply_at = now;
@@ -255,7 +271,8 @@
   free (h.instances);
 }
 
-/* Brings the document to the reply's version.  Returns whether it could. */
+/* Updates the document to the version of the reply.  Returns whether it is at
+   that version. */
 static bool
 apply_versions (struct cfs_control_client *c, Cfs__HeartbeatReply *r)
 {
@@ -286,8 +303,9 @@
   return c->version == r->version;
 }
 
-/* Where sessions are served the lease covers the configuration, which a
-   reply of the leader confirms; else it covers gates and limiters. */
+/* On a host that serves sessions, the lease covers the configuration and any
+   reply of the leader extends it.  Elsewhere it covers gates and limiters and
+   must be granted. */
 static int64_t
 lease_end (const struct cfs_control_client *c, const Cfs__HeartbeatReply *r)
 {
@@ -329,7 +347,8 @@
   c->ops->renewed (c->ctx, r);
   r->document = reply_document;
   if (c->version != old_version)
-    cfs_log (CFS_INFO, PART, "holds version %" PRIu64, c->version);
+    cfs_log (CFS_INFO, PART, "configuration version %" PRIu64 " received",
+             c->version);
 }
 
 static void
@@ -461,7 +480,8 @@
   send_to_leader (c, request);
 }
 
-/* A patch is answered only once it is in force, others at once. */
+/* The leader replies to a patch only once it is in force, to other requests at
+   once. */
 static int64_t
 retry_interval (const struct forwarded_request *q)
 {
@@ -485,7 +505,7 @@
           timed_out.id = q->message->call->id;
           timed_out.status = HTTP_UNAVAILABLE;
           timed_out.body
-              = (char *)"{\"detail\":\"no control leader answered\"}";
+              = (char *)"{\"detail\":\"no control leader replied in time\"}";
           c->ops->operator_replied (c->ctx, &timed_out);
           remove_request (c, i - 1);
         }
--- a/src/process/control_client.h
+++ b/src/process/control_client.h
@@ -1,8 +1,8 @@
 /**
- * DOC: A host's link to the control leader, in the control thread.
+ * DOC: A host's connection to the control leader, in the control thread.
  *
- * Sends heartbeats, keeps the lease and the configuration, and carries
- * calls of operators to whichever control host leads.
+ * Sends heartbeats, keeps the lease and the configuration up to date, and
+ * forwards operators' requests to the control host that is leader.
  */
 #ifndef CFS_CONTROL_CLIENT_H
 #define CFS_CONTROL_CLIENT_H
@@ -11,14 +11,15 @@
 #include "settings.h"
 #include "wire.pb-c.h"
 
-/* A call of an operator is given up after this time. */
+/* An operator's request without a reply fails after this time. */
 #define OPERATOR_REQUEST_TIMEOUT_US (10 * CFS_US_PER_S)
 
 /**
- * struct cfs_control_client_ops - events for the traffic thread
- * @renewed: the lease and what changed; the document is whole when set
- * @operator_replied: answer to a call
- * @tokens: answer to an ask for tokens
+ * struct cfs_control_client_ops - callbacks with replies of the leader
+ * @renewed: reply to a heartbeat: the lease and changes; the document, when
+ * set, is the whole configuration and no patch
+ * @operator_replied: reply to a forwarded operator request
+ * @tokens: reply to a token request
  */
 struct cfs_control_client_ops
 {
@@ -31,9 +32,9 @@
 
 /**
  * cfs_control_client_new() - starts without a lease
- * @ops: effects, must outlive it
- * @settings: must outlive it
- * @boot_id: number of this run of the process
+ * @ops: callbacks; must outlive the client
+ * @settings: must outlive the client
+ * @boot_id: id of this run of the process
  *
  * Return: freed by cfs_control_client_free().
  */
@@ -46,30 +47,29 @@
 void cfs_control_client_free (struct cfs_control_client *client);
 
 /**
- * cfs_control_client_report() - what the next heartbeats say besides the host
- * itself
- * @client: agent
- * @report: message that passes to the agent; one with instances or uses of
- * teams goes out once, another one with each heartbeat
+ * cfs_control_client_report() - sets what the next heartbeats report
+ * @report: heartbeat message, owned by the client from now on.  Instances and
+ * uses of teams are sent once, anything else with each heartbeat until the
+ * next report
  */
 void cfs_control_client_report (struct cfs_control_client *client,
                                 Cfs__Peer *report);
 
-/** cfs_control_client_forward() - forwards a call; @request passes to the
- * agent
- */
+/** cfs_control_client_forward() - forwards an operator request; @request is
+ * owned by the client from now on */
 void cfs_control_client_forward (struct cfs_control_client *client,
                                  Cfs__Peer *request, int64_t now);
 
-/** cfs_control_client_request_tokens() - asks the leader for tokens; the ask
- * may be lost */
+/** cfs_control_client_request_tokens() - requests tokens from the leader; the
+ * request is not repeated when it is lost */
 void cfs_control_client_request_tokens (struct cfs_control_client *client,
                                         const Cfs__Peer *request);
 
-/** cfs_control_client_tick() - timers; at least every 20 ms */
+/** cfs_control_client_tick() - runs timers; call at least every 20 ms */
 void cfs_control_client_tick (struct cfs_control_client *client, int64_t now);
 
-/** cfs_control_client_pump() - handles what has arrived, before each wait */
+/** cfs_control_client_pump() - handles received messages; call before each
+ * wait */
 void cfs_control_client_pump (struct cfs_control_client *client);
 
 #endif
--- a/src/process/control_fleet.c
+++ b/src/process/control_fleet.c
@@ -1,7 +1,7 @@
 /*
- * The control leader's dealings with operators' documents and with targets
- * that announce themselves.  A target's report goes through the log only
- * when it changes what hosts route by, so steady heartbeats cost no disk.
+ * Documents of operators and reports of targets at the control leader.  A
+ * report is proposed to the replicated log only when it changes what hosts
+ * route by, so steady heartbeats cause no disk writes.
  */
 #include "control_int.h"
 
@@ -12,9 +12,9 @@
 #include <string.h>
 
 #define PART "control"
-/* An order that is not committed by then is left without a clear answer. */
+/* After this time the commit of an entry is reported as unknown. */
 #define COMMIT_TIMEOUT_US (5 * CFS_US_PER_S)
-/* A target that was silent for longer counts as lost. */
+/* A replica without a heartbeat for this time counts as lost. */
 #define TARGET_LOST_US (30 * CFS_US_PER_S)
 
 void
@@ -51,8 +51,8 @@
   return CFS_OK;
 }
 
-/* An entry of this term that the leader of the same term has committed is
-   the one that was appended here. */
+/* If this host is still leader in the term in which it appended an entry, the
+   committed entry at that index is the same one. */
 static void
 finish_waiters (struct cfs_control *c, bool ready, int64_t now)
 {
@@ -87,7 +87,7 @@
   cmd.target = &m;
   cfs_log (CFS_NOTICE, PART,
            "target=%s service=%s address=%s zone=%s primary=%d draining=%d "
-           "gone=%d born=%" PRIu64 " sequence=%" PRIu64 " is recorded",
+           "gone=%d born=%" PRIu64 " sequence=%" PRIu64 " change proposed",
            t->id, t->service, t->address, t->zone, t->primary, t->draining,
            t->gone, t->incarnation, t->sequence);
   return control_propose (c, &cmd);
@@ -248,7 +248,8 @@
          || strcmp (known->zone, report->zone) != 0;
 }
 
-/* Notes the report.  Returns whether it is the newest of its sender. */
+/* Records when a target reported.  Returns whether the report is the newest of
+   its sender. */
 static bool
 record_heartbeat (struct cfs_control *c, const struct cfs_target *report,
                   int64_t now)
--- a/src/process/control_int.h
+++ b/src/process/control_int.h
@@ -1,5 +1,5 @@
 /**
- * DOC: Private parts of a control host, shared by control.c and
+ * DOC: Internals of a control host, shared by control.c and
  * control_fleet.c.
  */
 #ifndef CFS_CONTROL_INT_H
@@ -12,7 +12,10 @@
 #include "raft.h"
 #include "state.h"
 
-/** struct commit_waiter - a change in the log that somebody waits for */
+/**
+ * struct commit_waiter - caller that waits for a log entry to be committed
+ * @term: term in which this host appended the entry
+ */
 struct commit_waiter
 {
   uint64_t log_index;
@@ -22,7 +25,7 @@
   void *tag;
 };
 
-/** struct target_heartbeat - when a target was last heard; not replicated */
+/** struct target_heartbeat - last report of a target; not replicated */
 struct target_heartbeat
 {
   char id[CFS_NAME_MAX];
@@ -31,7 +34,10 @@
   int64_t received_at;
 };
 
-/** struct fleet_state - documents and targets at the control leader */
+/**
+ * struct fleet_state - documents and targets at the control leader
+ * @heartbeats: table of struct target_heartbeat
+ */
 struct fleet_state
 {
   struct commit_waiter *waiters;
@@ -44,7 +50,7 @@
   struct cfs_failover_manager *failover;
 };
 
-/* A patch whose answer is not decided yet. */
+/* An operator's patch that has not been replied to yet. */
 struct pending_patch
 {
   struct cfs_origin origin;
@@ -70,16 +76,18 @@
   struct fleet_state fleet;
 };
 
-/** control_propose() - appends a command; returns its index or 0 */
+/** control_propose() - appends a command to the replicated log; returns its
+ * log index, or 0 on failure */
 uint64_t control_propose (struct cfs_control *control, const Cfs__Command *c);
 
-/** control_fleet_init() - nothing is heard yet */
+/** control_fleet_init() - starts without heartbeats and waiters */
 void control_fleet_init (struct cfs_control *control);
 
-/** control_fleet_end() - frees what is kept */
+/** control_fleet_end() - frees tables and the failover manager */
 void control_fleet_end (struct cfs_control *control);
 
-/** control_fleet_tick() - ends orders and gives up silent targets */
+/** control_fleet_tick() - notifies waiters, drops silent targets, runs
+ * failovers */
 void control_fleet_tick (struct cfs_control *control, bool ready, int64_t now);
 
 #endif
--- a/src/process/fleet.c
+++ b/src/process/fleet.c
@@ -1,6 +1,6 @@
 /*
- * The lease is extended last, after all else of the same reply is in place,
- * so that a renewed lease never covers an older configuration.
+ * The lease is extended last, after everything else of the reply has been
+ * applied, so that a renewed lease never covers an older configuration.
  */
 #include "fleet.h"
 
@@ -30,7 +30,7 @@
   cfs_table_end (&f->failovers);
 }
 
-/* Returns whether the catalog is that of the reply or a later one. */
+/* Returns whether the catalog is at the version of the reply or later. */
 static bool
 update_catalog (struct cfs_fleet *f, const Cfs__HeartbeatReply *r)
 {
@@ -44,14 +44,15 @@
   decoded = f->decoder->read (r->document, r->version, &error);
   if (!decoded)
     {
-      cfs_log (CFS_ERR, PART, "version %" PRIu64 " cannot be read: %s",
+      cfs_log (CFS_ERR, PART,
+               "configuration version %" PRIu64 " cannot be decoded: %s",
                r->version, error->message);
       g_error_free (error);
       return false;
     }
   cfs_catalog_free (f->catalog);
   f->catalog = decoded;
-  cfs_log (CFS_NOTICE, PART, "version=%" PRIu64 " is in force here",
+  cfs_log (CFS_NOTICE, PART, "version=%" PRIu64 " is in force on this host",
            decoded->version);
   return true;
 }
--- a/src/process/fleet.h
+++ b/src/process/fleet.h
@@ -1,6 +1,6 @@
 /**
- * DOC: What a host that serves sessions knows of the fleet: the
- * configuration with its lease, the targets, and who leads each service.
+ * DOC: A session host's copy of the configuration with its lease, the targets
+ * and the primary of each service.
  */
 #ifndef CFS_FLEET_H
 #define CFS_FLEET_H
@@ -10,8 +10,8 @@
 #include "targets.h"
 
 /**
- * struct cfs_document_decoder - how an operator's document is decoded
- * @read: gives a sealed catalog, or NULL with @error set
+ * struct cfs_document_decoder - decoder of configuration documents
+ * @read: returns a sealed catalog, or NULL with @error set
  */
 struct cfs_document_decoder
 {
@@ -19,7 +19,12 @@
                                GError **error);
 };
 
-/** struct cfs_fleet - owned by the traffic thread */
+/**
+ * struct cfs_fleet - copy of the replicated data, owned by the traffic thread
+ * @targets: table of struct cfs_target
+ * @failovers: table of struct cfs_failover
+ * @lease_until: end of the lease of @catalog
+ */
 struct cfs_fleet
 {
   const struct cfs_settings *settings;
@@ -30,7 +35,7 @@
   int64_t lease_until;
 };
 
-/** cfs_fleet_init() - knows nothing yet and has no lease */
+/** cfs_fleet_init() - starts without data and without a lease */
 void cfs_fleet_init (struct cfs_fleet *fleet,
                      const struct cfs_settings *settings,
                      const struct cfs_document_decoder *decoder);
@@ -39,19 +44,21 @@
 void cfs_fleet_end (struct cfs_fleet *fleet);
 
 /**
- * cfs_fleet_update() - takes what the control leader sent
+ * cfs_fleet_update() - applies a heartbeat reply of the control leader
  *
- * A version lower than the one held is never taken.  The lease covers the
- * version of the same reply; it is not extended when that cannot be read.
+ * The configuration never goes back to a lower version.  The lease covers the
+ * version of the same reply and is not extended when that version cannot be
+ * decoded.
  * Return: whether the configuration changed.
  */
 bool cfs_fleet_update (struct cfs_fleet *fleet,
                        const Cfs__HeartbeatReply *reply);
 
-/** cfs_fleet_leased() - whether the configuration may be acted on */
+/** cfs_fleet_leased() - whether the lease of the configuration is valid */
 bool cfs_fleet_leased (const struct cfs_fleet *fleet, int64_t now);
 
-/** cfs_fleet_target() - the target of that name that is not gone, or NULL */
+/** cfs_fleet_target() - finds a target that is not gone; NULL if there is none
+ */
 const struct cfs_target *cfs_fleet_target (const struct cfs_fleet *fleet,
                                            const char *id);
 
