--- a/src/process/failover.c
+++ b/src/process/failover.c
@@ -101,7 +101,7 @@
 {
   size_t hosts = 0;
   size_t suspects;
-  int64_t silent;
+  int64_t silent_us;
 
   if (!t && now - f->no_primary_since > PRIMARY_TIMEOUT_ALONE_US)
     return "no instance is primary";
@@ -110,12 +110,12 @@
   if (t->draining)
     return "the primary is draining";
   suspects = m->ops->suspecting_hosts (m->ctx, t->id, &hosts);
-  silent = now - f->primary_probe.replied_at;
+  silent_us = now - f->primary_probe.replied_at;
   if (f->not_primary_since && now - f->not_primary_since > PRIMARY_TIMEOUT_US)
     return "the primary reports that it is a replica";
-  if (silent > PRIMARY_TIMEOUT_ALONE_US)
+  if (silent_us > PRIMARY_TIMEOUT_ALONE_US)
     return "the primary does not reply";
-  if (silent > PRIMARY_TIMEOUT_US
+  if (silent_us > PRIMARY_TIMEOUT_US
       && (double)suspects >= SUSPECT_FRACTION * (double)hosts)
     return "the primary does not reply and hosts cannot reach it";
   if (f->primary_probe.connect_failures >= CONNECT_FAILURES_MAX
@@ -244,7 +244,7 @@
 }
 
 static void
-log_unpaused (const struct failover_state *f)
+log_missing_status (const struct failover_state *f)
 {
   for (size_t i = 0; i < f->probe_count; i++)
     if (*f->probes[i].target && !f->probes[i].status_known)
@@ -263,10 +263,11 @@
 {
   const struct cfs_target *primary = current_primary (m, f);
   struct probe_summary c = failover_poll_instances (m, f, now);
-  bool other = c.primary
-               && (!primary || strcmp (c.primary->target, primary->id) != 0);
+  bool another_primary
+      = c.primary
+        && (!primary || strcmp (c.primary->target, primary->id) != 0);
 
-  if (other && c.paused + 1 >= c.known)
+  if (another_primary && c.paused + 1 >= c.known)
     {
       accept_primary (m, f, c.primary, now);
       return;
@@ -278,7 +279,7 @@
     }
   if (now - f->phase_started_at < PAUSE_TIMEOUT_US)
     return;
-  log_unpaused (f);
+  log_missing_status (f);
   if (f->promotion_sent || c.demoted || !primary
       || failover_reason (m, f, primary, now))
     {
@@ -298,14 +299,14 @@
                int64_t now)
 {
   const struct cfs_target *primary = current_primary (m, f);
-  bool answers = primary && f->primary_probe.connected
+  bool replies = primary && f->primary_probe.connected
                  && f->primary_probe.status_known
                  && strcmp (f->primary_probe.target, primary->id) == 0
                  && now - f->primary_probe.replied_at < PRIMARY_TIMEOUT_US;
 
   cfs_copy (f->former_primary, sizeof f->former_primary,
             primary ? primary->id : "");
-  f->pause_at = answers ? now + DEMOTE_TIMEOUT_US : now;
+  f->pause_at = replies ? now + DEMOTE_TIMEOUT_US : now;
   enter_phase (f, PHASE_PAUSING, now);
   run_pausing (m, f, now);
 }
