--- a/src/process/failover_int.h
+++ b/src/process/failover_int.h
@@ -18,6 +18,7 @@
 /* Log entries that a primary sent before its demotion reach its replicas
    within this time. */
 #define REPLICATION_DRAIN_US (60 * CFS_US_PER_MS)
+/* Maximum number of instances of a service that are probed. */
 #define PROBES_MAX 16
 
 /**
@@ -109,6 +110,12 @@
   int64_t retry_at;
 };
 
+/**
+ * struct cfs_failover_manager - failovers of all services
+ * @services: one state per service that has a target
+ * @is_leader: this host is control leader
+ * @leader_since: when it became leader
+ */
 struct cfs_failover_manager
 {
   const struct cfs_failover_ops *ops;
@@ -145,8 +152,7 @@
 /** failover_close_probes() - closes the connections of a failover */
 void failover_close_probes (struct failover_state *state);
 
-/** failover_watch_primary() - asks the primary periodically for its role
- */
+/** failover_watch_primary() - asks an instance periodically for its role */
 void failover_watch_primary (struct cfs_failover_manager *manager,
                              struct failover_state *state,
                              const struct cfs_target *target, int64_t now);
