--- a/src/request/admit.c
+++ b/src/request/admit.c
@@ -1,9 +1,10 @@
 /*
- * One ask per team is under way at a time, for as many tokens as requests
- * wait.  A token's time is counted from the arrival of the grant, which is
- * never too early, and its life is cut by the time the answer took, which is
- * never too late.  What is left over is dropped: it is cheaper to lose a
- * token than to hold one that bunches up with later ones.
+ * Each team has at most one outstanding token request, for as many tokens as
+ * there are requests queued.  The time at which a token becomes valid is
+ * counted from the arrival of the grant, so it is never too early.  Its
+ * lifetime is reduced by the time that the reply took, so it never ends too
+ * late.  Unused tokens are dropped, because losing a token costs less than
+ * keeping one that would be spent together with later ones and cause a burst.
  */
 #include "admit.h"
 
@@ -67,8 +68,8 @@
   request_tokens (a, t, now);
 }
 
-/* Time at which the next token may be spent: they follow each other at the
-   team's rate, and the last one's time is known. */
+/* Time at which the next token becomes valid.  Tokens become valid one after
+   another at the team's rate, the last one at last_token_at. */
 static int64_t
 token_time (const struct cfs_admit_team *t)
 {
@@ -77,7 +78,7 @@
   return t->last_token_at - (int64_t)offset_us;
 }
 
-/* Spends the tokens whose time has come and drops those that are too old. */
+/* Spends the tokens that have become valid and drops expired ones. */
 static void
 spend (struct cfs_admit *a, struct cfs_admit_team *t, int64_t now)
 {
@@ -125,7 +126,8 @@
   request_tokens (a, t, now);
 }
 
-/* The queue is in order of arrival, not of deadline, so all are looked at. */
+/* Refuses requests whose deadline has passed.  The queue is ordered by
+   arrival and not by deadline, so every request is checked. */
 static void
 expire (struct cfs_admit *a, struct cfs_admit_team *t, int64_t now)
 {
--- a/src/request/fair.c
+++ b/src/request/fair.c
@@ -1,15 +1,15 @@
 /*
- * Start-time fair queueing by measured cost.  Deficit round robin was
- * weighed: it needs the cost before the run, while here a statement's cost
- * is known only afterwards, and a charge that is corrected later keeps the
- * long-term share exact.  First come first served and plain round robin are
- * kept as baselines for the benchmark.
+ * Start-time fair queueing by measured service time.  Deficit round robin is
+ * not used because it needs the cost of a statement before it runs, whereas
+ * here the cost is known only afterwards.  Charging an estimate and
+ * correcting it later keeps the long-term shares exact.  First come, first
+ * served and plain round robin serve as baselines for the benchmark.
  */
 #include "fair.h"
 
 #include <string.h>
 
-/* Weight of a new measurement in the moving average of a team's cost. */
+/* Weight of a new sample in the moving average of the service time. */
 #define COST_GAIN 0.125
 
 void
@@ -24,7 +24,7 @@
   q->count++;
 }
 
-/* Removes the request that @prev points to, or the head without @prev. */
+/* Removes the request after @prev, or the head when @prev is NULL. */
 static struct cfs_request *
 unlink_after (struct cfs_queue *q, struct cfs_request *prev)
 {
@@ -84,7 +84,7 @@
   return CFS_OK;
 }
 
-/* Whether team a goes before team b. */
+/* Whether team a is served before team b. */
 static bool
 precedes (const struct cfs_fair *f, enum cfs_lane lane,
           const struct cfs_fair_team *a, const struct cfs_fair_team *b)
@@ -134,7 +134,7 @@
   const struct cfs_fair_team *tried[TEAMS_TRIED];
   size_t count = 0;
 
-  /* Invariant: no team in tried has a request that can run now. */
+  /* Invariant: none of the teams in tried has a request that can run. */
   while (count < TEAMS_TRIED)
     {
       struct cfs_fair_team *best = NULL;
--- a/src/request/limit.c
+++ b/src/request/limit.c
@@ -1,10 +1,10 @@
 /*
- * Of one ask a request, token grants and moving rate shares, grants on
- * demand were chosen: shares refuse a team within its rate while demand
- * moves between hosts, and an ask a request costs a message a statement.
- * The level may go below zero: then tokens are granted for a later time.
- * Granting only what is there was tried first; under scarcity it gave each
- * host the same, however many requests waited there.
+ * Tokens are granted to hosts in batches, on demand.  Leasing shares of the
+ * rate to hosts would refuse requests of a team within its rate while demand
+ * moves between hosts, and asking for every single request would cost one
+ * message per statement.  The level may become negative: tokens are then
+ * granted in advance.  Granting only the tokens that are available gives each
+ * host the same number under overload, however many requests wait there.
  */
 #include "limit.h"
 
--- a/src/request/limit.h
+++ b/src/request/limit.h
@@ -1,23 +1,30 @@
 /**
- * DOC: The limiter of one team: a token bucket whose grants expire.
+ * DOC: Rate limiter of one team: a token bucket whose grants expire.
  *
- * A token is spent at most GRANT_LIFE_US after its time, so the bucket
- * holds burst - rate * GRANT_LIFE_US.  Then in every window of t seconds at
- * most burst + rate * t requests are admitted over all hosts.  A limiter
- * that takes over starts empty: whatever its predecessor granted fits the
- * same bound.  No I/O and no clock.
+ * A token is spent at most GRANT_LIFE_US after it becomes valid, so the
+ * capacity of the bucket is burst - rate * GRANT_LIFE_US.  Then at most
+ * burst + rate * t requests are admitted by all hosts together in any window
+ * of t seconds.  A limiter that takes over from another host starts empty, so
+ * that the tokens granted by its predecessor are within the same bound.  The
+ * module does no I/O and reads no clock.
  */
 #ifndef CFS_LIMIT_H
 #define CFS_LIMIT_H
 
 #include "../cfs.h"
 
-/* A token may be spent this long after its time. */
+/* Lifetime of a token, counted from the time at which it becomes valid. */
 #define GRANT_LIFE_US (50 * CFS_US_PER_MS)
-/* Tokens are granted at most this long before they may be spent. */
+/* Maximum time by which a token is granted before it becomes valid. */
 #define GRANT_AHEAD_US (250 * CFS_US_PER_MS)
 
-/** struct cfs_bucket - tokens of one team at its limiter */
+/**
+ * struct cfs_bucket - token bucket of one team
+ * @rate: tokens per second
+ * @burst: tokens that all hosts together may spend at once
+ * @level: tokens available; negative when tokens of the future are granted
+ * @filled_at: time up to which @level is computed
+ */
 struct cfs_bucket
 {
   double rate;
@@ -27,32 +34,33 @@
 };
 
 /**
- * cfs_bucket_init() - starts a limiter
- * @bucket: written
+ * cfs_bucket_init() - initializes a bucket
+ * @bucket: initialized
  * @rate: tokens per second
  * @burst: tokens, at least @rate times GRANT_LIFE_US
- * @full: whether no predecessor can have granted anything
- * @now: time
+ * @full: start with a full bucket, because no predecessor has granted tokens
+ * @now: current time
  */
 void cfs_bucket_init (struct cfs_bucket *bucket, double rate, double burst,
                       bool full, int64_t now);
 
-/** cfs_bucket_set_rate() - takes over a new rate and burst */
+/** cfs_bucket_set_rate() - changes the rate and the burst */
 void cfs_bucket_set_rate (struct cfs_bucket *bucket, double rate, double burst,
                           int64_t now);
 
 /**
- * cfs_bucket_take() - grants tokens, in the order of the asks
+ * cfs_bucket_take() - grants tokens, in the order of the requests
  * @bucket: bucket
- * @want: tokens asked for
- * @now: time
- * @wait_us: set to the time until the last granted token may be spent, or,
- * when none is granted, until one can be
+ * @want: number of tokens requested
+ * @now: current time
+ * @wait_us: set to the time until the last granted token becomes valid or,
+ * when none is granted, until one can be granted
+ *
+ * Tokens that are not available yet are granted in advance, by at most
+ * GRANT_AHEAD_US.  So a host that requests earlier or more tokens waits no
+ * longer than its position in the queue requires.
  *
- * Tokens that are not there yet are granted for a later time, at most
- * GRANT_AHEAD_US ahead, so that whoever asks first and for more waits no
- * longer than its place in the line.
- * Return: tokens granted, 0 to @want.
+ * Return: number of tokens granted, 0 to @want.
  */
 uint32_t cfs_bucket_take (struct cfs_bucket *bucket, uint32_t want,
                           int64_t now, int64_t *wait_us);
--- a/src/request/quota.c
+++ b/src/request/quota.c
@@ -1,8 +1,9 @@
 /*
- * A token bucket a team whose rate is the share, and single tokens beside
- * it.  Shares alone refuse a team within its rate where it sends little
- * through many hosts; tokens alone cost a message a request and nothing
- * passes while the control leader changes.
+ * One token bucket per team, filled at the rate of the share, and single
+ * tokens in addition.  With shares alone, a team that sends few operations
+ * through each of many hosts would be refused although it is within its rate.
+ * With single tokens alone, each request would cost a message, and none would
+ * be served while the control leader changes.
  */
 #include "quota.h"
 
@@ -10,21 +11,22 @@
 
 #include <string.h>
 
-/* Span over which demand is counted. */
+/* Length of a measuring span of the demand. */
 #define DEMAND_SPAN_US (500 * CFS_US_PER_MS)
-/* Part of the difference by which demand falls each span. */
+/* Fraction of the difference by which the demand decays per span. */
 #define DEMAND_DECAY 0.2
-/* Tokens are asked for ahead, for what is likely to come in this time. */
+/* Tokens are prefetched for the demand expected within this time. */
 #define PREFETCH_US (200 * CFS_US_PER_MS)
-/* An ask without an answer is given up after this time. */
+/* Time after which a token request without a reply counts as lost. */
 #define REPLY_TIMEOUT_US (120 * CFS_US_PER_MS)
-/* Pause after an ask that was not granted in full. */
+/* Delay of the next token request after one that was not granted in full. */
 #define DENIAL_PAUSE_US (60 * CFS_US_PER_MS)
-/* No tokens are asked for ahead for this time after one was denied. */
+/* No tokens are prefetched for this time after a token was denied. */
 #define PREFETCH_PAUSE_US (2 * CFS_US_PER_S)
-/* An operation waits for a token of the share that comes within this time. */
+/* Maximum time for which an operation waits for a token of the share. */
 #define SHARE_WAIT_MAX_US (120 * CFS_US_PER_MS)
-/* Least depth of a bucket with a share, or no operation would ever pass. */
+/* Minimum capacity of the bucket of a share.  With less than one token, no
+   operation would ever be admitted. */
 #define CAPACITY_MIN 1.0
 
 void
@@ -102,7 +104,7 @@
     q->until = until;
 }
 
-/* Closes spans that are over. */
+/* Updates the average if the current measuring span is over. */
 static void
 close_demand_span (struct cfs_quota_team *t, int64_t now)
 {
--- a/src/request/quota.h
+++ b/src/request/quota.h
@@ -1,9 +1,9 @@
 /**
- * DOC: This host's part of the teams' rates.
+ * DOC: Local rate limiter of a host.
  *
- * The control leader gives each host a share of a team's rate for as long
- * as the host's lease, with the same part of the burst.  Where that does not
- * suffice, single tokens are asked for.
+ * The control leader leases to each host a share of a team's rate, with the
+ * same fraction of the burst, for the time of the host's lease.  Where the
+ * share does not suffice, the host requests single tokens.
  */
 #ifndef CFS_QUOTA_H
 #define CFS_QUOTA_H
@@ -12,10 +12,10 @@
 #include "../version/catalog.h"
 #include "../process/wire.pb-c.h"
 
-/* Grants of tokens that are kept beside each other. */
+/* Maximum number of token grants that are kept at a time. */
 #define QUOTA_GRANTS_MAX 8
 
-/** struct cfs_quota_grant - single tokens and when they become void */
+/** struct cfs_quota_grant - granted tokens and their time of expiry */
 struct cfs_quota_grant
 {
   uint32_t count;
@@ -23,9 +23,24 @@
 };
 
 /**
- * struct cfs_quota_team - one team's share and tokens at this host
- * @share: operations a second
- * @known: what the leader that gave the share denies is in use
+ * struct cfs_quota_team - share and tokens of one team at this host
+ * @share: leased share, operations per second
+ * @authoritative: the leader that leased the share knows all other shares, so
+ * a token that it denies is really in use
+ * @capacity: capacity of the token bucket of the share
+ * @level: tokens in that bucket
+ * @filled_at: time up to which @level is computed
+ * @span_ops: operations counted in the current measuring span
+ * @demand: average demand, operations per second
+ * @counted_at: start of the current measuring span
+ * @grants: ring of tokens granted in addition to the share
+ * @waiting: operations that wait for a token
+ * @outstanding: tokens requested and not yet granted or denied
+ * @outstanding_until: time after which these requests count as lost
+ * @denied_at: time of the last token request that was denied
+ * @next_request_at: earliest time of the next token request
+ * @granted: operations that got a token
+ * @refused: not used
  */
 struct cfs_quota_team
 {
@@ -50,8 +65,12 @@
 };
 
 /**
- * struct cfs_quota - owned by the traffic thread
- * @used_at: when an operation last passed, or this host started
+ * struct cfs_quota - shares and tokens of all teams at this host
+ * @until: end of the lease on the shares
+ * @used_at: time at which an operation last got a token, or of the start of
+ * this host
+ *
+ * Owned by the traffic thread.
  */
 struct cfs_quota
 {
@@ -60,15 +79,15 @@
   int64_t used_at;
 };
 
-/** cfs_quota_init() - no shares; nothing has passed here before @now */
+/** cfs_quota_init() - no shares, and no operation before @now */
 void cfs_quota_init (struct cfs_quota *quota, int64_t now);
 
-/** cfs_quota_end() - frees the rows */
+/** cfs_quota_end() - frees the teams */
 void cfs_quota_end (struct cfs_quota *quota);
 
 /**
- * cfs_quota_update() - takes the shares of a reply of the control leader
- * @shares: a share that is missing is 0
+ * cfs_quota_update() - applies the shares in a reply of the control leader
+ * @shares: shares; a team that is missing has a share of 0
  * @catalog: rates and bursts in force
  * @until: end of the lease that covers the shares
  */
@@ -76,53 +95,56 @@
                        size_t count, const struct cfs_catalog *catalog,
                        int64_t until, int64_t now);
 
-/** cfs_quota_renew() - the shares held stay valid until later */
+/** cfs_quota_renew() - extends the lease on the present shares to @until */
 void cfs_quota_renew (struct cfs_quota *quota, int64_t until);
 
-/** cfs_quota_count_demand() - counts an operation of a team as demand */
+/** cfs_quota_count_demand() - counts an operation in the demand of a team */
 void cfs_quota_count_demand (struct cfs_quota *quota, const char *team,
                              int64_t now);
 
 /**
- * cfs_quota_take() - takes the right to one operation
- * @wait_us: set to the time after which one may be there, CFS_NEVER when
- * this host has no share
+ * cfs_quota_take() - takes a token for one operation
+ * @wait_us: when there is none, set to the time until the share has one, or
+ * to CFS_NEVER when this host has no share
  *
- * Return: whether it was there.
+ * Return: whether there was a token.
  */
 bool cfs_quota_take (struct cfs_quota *quota, const char *team, int64_t now,
                      int64_t *wait_us);
 
 /**
- * cfs_quota_denied() - whether the team has no room now
- * @since: when an operation began to wait
+ * cfs_quota_denied() - whether a waiting operation is to be refused
+ * @since: time at which the operation began to wait
  *
- * True when an ask that was sent after @since was not granted in full by a
- * leader that was sure of it, and the share has none soon.
+ * True when a token request sent after @since was not granted in full, the
+ * denial is authoritative, and the share will not have a token soon.
  */
 bool cfs_quota_denied (struct cfs_quota *quota, const char *team,
                        int64_t since, int64_t now);
 
-/** cfs_quota_count_waiting() - an operation starts or ends to wait for a token
+/**
+ * cfs_quota_count_waiting() - counts an operation that starts or stops
+ * waiting for a token
  */
 void cfs_quota_count_waiting (struct cfs_quota *quota, const char *team,
                               bool starts);
 
 /**
- * cfs_quota_tokens_to_request() - tokens to ask for now
+ * cfs_quota_tokens_to_request() - number of tokens to request now
  *
- * What is returned counts as asked for, until it is granted or the answer
- * does not come.
+ * The number returned counts as outstanding until the reply arrives or is
+ * considered lost.
  */
 uint32_t cfs_quota_tokens_to_request (struct cfs_quota_team *team,
                                       int64_t now);
 
 /**
- * struct cfs_quota_token_reply - the control leader's answer to one question
- * @asked: tokens that were asked for
- * @count: tokens that are granted
- * @known: what the leader denies is in use
- * @sent_at: when the question was sent; tokens live from there
+ * struct cfs_quota_token_reply - the control leader's reply to a token request
+ * @requested: number of tokens requested
+ * @count: number of tokens granted
+ * @authoritative: a token that the leader denies is really in use
+ * @sent_at: time at which the request was sent, from which the lifetime of
+ * the tokens is counted
  */
 struct cfs_quota_token_reply
 {
@@ -132,14 +154,14 @@
   int64_t sent_at;
 };
 
-/** cfs_quota_add_tokens() - takes tokens that were granted */
+/** cfs_quota_add_tokens() - applies the reply to a token request */
 void cfs_quota_add_tokens (struct cfs_quota *quota, const char *team,
                            const struct cfs_quota_token_reply *answer);
 
 /**
- * cfs_quota_demand() - operations a second that a team asks for here
+ * cfs_quota_demand() - demand of a team at this host, operations per second
  *
- * An average over about a second that rises at once and falls slowly.
+ * An average over about one second that rises at once and decays slowly.
  */
 double cfs_quota_demand (const struct cfs_quota_team *team, int64_t now);
 
