--- a/src/process/traffic.c
+++ b/src/process/traffic.c
@@ -64,7 +64,7 @@
 static void
 on_request (void *ctx, struct cfs_http_request *req)
 {
-  cfs_entry_request (((struct cfs_traffic *)ctx)->entry, req);
+  cfs_entry_handle_request (((struct cfs_traffic *)ctx)->entry, req);
 }
 
 static void
@@ -270,7 +270,8 @@
 static bool
 is_drained (const struct cfs_traffic *t)
 {
-  return cfs_gates_held (t->gates) == 0 && cfs_entry_open (t->entry) == 0
+  return cfs_gates_held_count (t->gates) == 0
+         && cfs_entry_open_requests (t->entry) == 0
          && cfs_http_open_requests (t->http) == 0;
 }
 
@@ -294,11 +295,11 @@
       int64_t since = cfs_now () - started;
 
       run_once (t);
-      if (since > NOT_READY_PERIOD_US && cfs_gates_held (t->gates) == 0)
+      if (since > NOT_READY_PERIOD_US && cfs_gates_held_count (t->gates) == 0)
         cfs_http_quiesce (t->http);
       if (since > 2 * NOT_READY_PERIOD_US && is_drained (t))
         break;
     }
   cfs_log (CFS_NOTICE, PART, "stopped with %zu open requests",
-           cfs_entry_open (t->entry));
+           cfs_entry_open_requests (t->entry));
 }
--- a/src/request/entry.c
+++ b/src/request/entry.c
@@ -480,7 +480,7 @@
 }
 
 size_t
-cfs_entry_open (const struct cfs_entry *e)
+cfs_entry_open_requests (const struct cfs_entry *e)
 {
   return e->open + e->operator_request_count;
 }
@@ -534,7 +534,7 @@
 }
 
 static void
-versioned_request (struct cfs_entry *e, struct cfs_http_request *call)
+handle_api_request (struct cfs_entry *e, struct cfs_http_request *call)
 {
   char *parts[PATH_PARTS_MAX];
   char *path = cfs_strdup (cfs_http_request_path (call));
@@ -555,7 +555,7 @@
 }
 
 void
-cfs_entry_request (struct cfs_entry *e, struct cfs_http_request *call)
+cfs_entry_handle_request (struct cfs_entry *e, struct cfs_http_request *call)
 {
   const char *path = cfs_http_request_path (call);
 
@@ -568,5 +568,5 @@
   else if (strcmp (path, "/metrics") == 0)
     respond_metrics (e, call);
   else
-    versioned_request (e, call);
+    handle_api_request (e, call);
 }
--- a/src/request/entry.h
+++ b/src/request/entry.h
@@ -38,9 +38,9 @@
 /** cfs_entry_free() - answers what is open and frees it */
 void cfs_entry_free (struct cfs_entry *entry);
 
-/** cfs_entry_request() - a whole HTTP request */
-void cfs_entry_request (struct cfs_entry *entry,
-                        struct cfs_http_request *call);
+/** cfs_entry_handle_request() - a whole HTTP request */
+void cfs_entry_handle_request (struct cfs_entry *entry,
+                               struct cfs_http_request *call);
 
 /** cfs_entry_gate_reply() - a gate answered */
 void cfs_entry_gate_reply (struct cfs_entry *entry, const Cfs__Answer *in,
@@ -63,7 +63,7 @@
 /** cfs_entry_drain() - says not ready from now on */
 void cfs_entry_drain (struct cfs_entry *entry);
 
-/** cfs_entry_open() - calls without an answer */
-size_t cfs_entry_open (const struct cfs_entry *entry);
+/** cfs_entry_open_requests() - calls without an answer */
+size_t cfs_entry_open_requests (const struct cfs_entry *entry);
 
 #endif
--- a/src/request/entry_operator.c
+++ b/src/request/entry_operator.c
@@ -186,7 +186,7 @@
 }
 
 static void
-config_request (struct cfs_entry *e, struct cfs_http_request *call)
+handle_config_request (struct cfs_entry *e, struct cfs_http_request *call)
 {
   const char *method = cfs_http_request_method (call);
   struct cfs_http_response refused = { .status = HTTP_METHOD, .body = "{}" };
@@ -233,7 +233,7 @@
     entry_problem (e, call, CFS_CODE_UNAUTHENTICATED, CFS_NOT_RUN,
                    "not the key of operators");
   else if (strcmp (resource, "config") == 0)
-    config_request (e, call);
+    handle_config_request (e, call);
   else if (strcmp (resource, "drain") == 0)
     {
       struct cfs_http_response ok = { .status = HTTP_OK, .body = "{}" };
--- a/src/request/entry_statement.c
+++ b/src/request/entry_statement.c
@@ -226,8 +226,8 @@
 }
 
 static void
-sheet_request (struct cfs_entry *e, struct cfs_http_request *call,
-               const char *name)
+handle_sheet_request (struct cfs_entry *e, struct cfs_http_request *call,
+                      const char *name)
 {
   const struct cfs_conf *conf = e->setup.directory->conf;
   const struct cfs_sheet *sheet = cfs_conf_sheet (conf, name);
@@ -281,8 +281,8 @@
 }
 
 static void
-group_request (struct cfs_entry *e, struct cfs_http_request *call,
-               char **parts, size_t count)
+handle_group_request (struct cfs_entry *e, struct cfs_http_request *call,
+                      char **parts, size_t count)
 {
   enum cfs_request_kind kind = kind_of (parts, count);
   const struct cfs_team *team = authenticate (e, call);
@@ -334,9 +334,9 @@
       return;
     }
   if (sheet)
-    sheet_request (e, call, parts[1]);
+    handle_sheet_request (e, call, parts[1]);
   else if (count >= 2)
-    group_request (e, call, parts + 1, count - 1);
+    handle_group_request (e, call, parts + 1, count - 1);
   else
     entry_problem (e, call, CFS_CODE_NOT_FOUND, CFS_NOT_RUN,
                    "no such resource");
--- a/src/request/gates.c
+++ b/src/request/gates.c
@@ -530,7 +530,7 @@
 }
 
 size_t
-cfs_gates_held (const struct cfs_gates *g)
+cfs_gates_held_count (const struct cfs_gates *g)
 {
   size_t held = 0;
 
--- a/src/request/gates.h
+++ b/src/request/gates.h
@@ -60,8 +60,9 @@
 void cfs_gates_report (struct cfs_gates *gates, bool drain,
                        Cfs__Heartbeat *out, int64_t now);
 
-/** cfs_gates_held() - number of gates and limiters held and not released */
-size_t cfs_gates_held (const struct cfs_gates *gates);
+/** cfs_gates_held_count() - number of gates and limiters held and not released
+ */
+size_t cfs_gates_held_count (const struct cfs_gates *gates);
 
 /** cfs_gates_metrics() - appends counters in Prometheus text form */
 void cfs_gates_metrics (const struct cfs_gates *gates, GString *out,
