--- a/src/request/entry.c
+++ b/src/request/entry.c
@@ -25,10 +25,10 @@
 }
 
 const char *
-entry_bearer (const struct cfs_http_request *call)
+entry_bearer (const struct cfs_http_request *http)
 {
   static const char scheme[] = "Bearer ";
-  const char *text = cfs_http_request_header (call, "Authorization");
+  const char *text = cfs_http_request_header (http, "Authorization");
 
   if (!text || strncasecmp (text, scheme, sizeof scheme - 1) != 0)
     return NULL;
@@ -36,7 +36,7 @@
 }
 
 static void
-respond_problem (struct cfs_entry *e, struct cfs_http_request *call,
+respond_problem (struct cfs_entry *e, struct cfs_http_request *http,
                  enum cfs_code code, enum cfs_outcome outcome,
                  const char *detail, const char *session)
 {
@@ -58,17 +58,17 @@
   if (a.status == HTTP_UNAVAILABLE || code == CFS_CODE_RATE_LIMITED)
     a.retry_after = 1;
   e->response_counts[code]++;
-  cfs_http_respond (call, &a);
+  cfs_http_respond (http, &a);
   free (text);
   cJSON_Delete (doc);
 }
 
 void
-entry_problem (struct cfs_entry *e, struct cfs_http_request *call,
+entry_problem (struct cfs_entry *e, struct cfs_http_request *http,
                enum cfs_code code, enum cfs_outcome outcome,
                const char *detail)
 {
-  respond_problem (e, call, code, outcome, detail, NULL);
+  respond_problem (e, http, code, outcome, detail, NULL);
 }
 
 void
@@ -102,14 +102,14 @@
   if (er->next)
     er->next->prev = er;
   e->requests = er;
-  e->open++;
+  e->open_count++;
 }
 
 static void
 clear_sent_id (struct entry_request *er)
 {
   if (er->id)
-    apr_hash_set (er->entry->sent, &er->id, sizeof er->id, NULL);
+    apr_hash_set (er->entry->sent_requests, &er->id, sizeof er->id, NULL);
   er->id = 0;
 }
 
@@ -125,7 +125,7 @@
     e->requests = er->next;
   if (er->next)
     er->next->prev = er->prev;
-  e->open--;
+  e->open_count--;
   entry_free_request (er);
 }
 
@@ -133,7 +133,7 @@
 entry_finish (struct entry_request *er, enum cfs_code code,
               enum cfs_outcome outcome, const char *detail)
 {
-  entry_problem (er->entry, er->call, code, outcome, detail);
+  entry_problem (er->entry, er->http, code, outcome, detail);
   end_request (er);
 }
 
@@ -184,7 +184,7 @@
 
   e->setup = *setup;
   apr_pool_create (&e->pool, NULL);
-  e->sent = apr_hash_make (e->pool);
+  e->sent_requests = apr_hash_make (e->pool);
   cfs_admit_init (&e->admit, &admit_ops, e);
   cfs_table_init (&e->sent_announcements, sizeof (struct sent_announcement));
   cfs_token_derive_key (setup->settings->curve_secret, e->token_key);
@@ -204,7 +204,7 @@
     entry_finish (e->requests, CFS_CODE_DRAINING, outcome_of (e->requests),
                   NULL);
   for (size_t i = 0; i < e->operator_request_count; i++)
-    cfs_http_respond (e->operator_requests[i].call, &gone);
+    cfs_http_respond (e->operator_requests[i].http, &gone);
   free (e->operator_requests);
   cfs_table_end (&e->sent_announcements);
   apr_pool_destroy (e->pool);
@@ -300,7 +300,7 @@
   er->state = ENTRY_SENT;
   er->sent_epoch = gate->epoch;
   er->orphaned_at = 0;
-  apr_hash_set (er->entry->sent, &er->id, sizeof er->id, er);
+  apr_hash_set (er->entry->sent_requests, &er->id, sizeof er->id, er);
 }
 
 /* Joins the head of our answer with the gate's JSON object. */
@@ -337,7 +337,7 @@
   a.body = body;
   a.session = session;
   er->entry->response_counts[CFS_CODE_OK]++;
-  cfs_http_respond (er->call, &a);
+  cfs_http_respond (er->http, &a);
   g_free (body);
   end_request (er);
 }
@@ -351,7 +351,7 @@
 
   cfs_token_reset (&er->token, er->group, in->term, in->position);
   cfs_token_write (&er->token, er->entry->token_key, session);
-  respond_problem (er->entry, er->call, CFS_CODE_WRITE_LOST, outcome_of (er),
+  respond_problem (er->entry, er->http, CFS_CODE_WRITE_LOST, outcome_of (er),
                    "a change that this session has seen was lost", session);
   end_request (er);
 }
@@ -359,7 +359,8 @@
 void
 cfs_entry_gate_reply (struct cfs_entry *e, const Cfs__Answer *in, int64_t now)
 {
-  struct entry_request *er = apr_hash_get (e->sent, &in->id, sizeof in->id);
+  struct entry_request *er
+      = apr_hash_get (e->sent_requests, &in->id, sizeof in->id);
 
   if (!er)
     return;
@@ -482,21 +483,21 @@
 size_t
 cfs_entry_open_requests (const struct cfs_entry *e)
 {
-  return e->open + e->operator_request_count;
+  return e->open_count + e->operator_request_count;
 }
 
 static void
-respond_health (struct cfs_http_request *call, bool ok)
+respond_health (struct cfs_http_request *http, bool ok)
 {
   struct cfs_http_response a = { .status = ok ? HTTP_OK : HTTP_UNAVAILABLE,
                                  .type = "text/plain",
                                  .body = ok ? "ok\n" : "not ready\n" };
 
-  cfs_http_respond (call, &a);
+  cfs_http_respond (http, &a);
 }
 
 static void
-respond_metrics (struct cfs_entry *e, struct cfs_http_request *call)
+respond_metrics (struct cfs_entry *e, struct cfs_http_request *http)
 {
   const struct cfs_directory *d = e->setup.directory;
   GString *out = g_string_new (NULL);
@@ -510,11 +511,11 @@
                           "coltsfootstage_calls_open %zu\n"
                           "coltsfootstage_config_version %" PRIu64 "\n"
                           "coltsfootstage_leased %d\n",
-                          e->open, d->conf ? d->conf->version : 0,
+                          e->open_count, d->conf ? d->conf->version : 0,
                           cfs_directory_has_lease (d, cfs_now ()));
   e->setup.metrics (e->setup.ctx, out);
   a.body = out->str;
-  cfs_http_respond (call, &a);
+  cfs_http_respond (http, &a);
   g_string_free (out, TRUE);
 }
 
@@ -534,39 +535,39 @@
 }
 
 static void
-handle_api_request (struct cfs_entry *e, struct cfs_http_request *call)
+handle_api_request (struct cfs_entry *e, struct cfs_http_request *http)
 {
   char *parts[PATH_PARTS_MAX];
-  char *path = cfs_strdup (cfs_http_request_path (call));
+  char *path = cfs_strdup (cfs_http_request_path (http));
   size_t count = split_path (path, parts);
   const char *first = count ? parts[0] : "";
 
   if (strcmp (first, "groups") == 0 || strcmp (first, "sheets") == 0)
-    statement_handle (e, call, parts, count);
+    statement_handle (e, http, parts, count);
   else if (count == 1
            && (strcmp (first, "config") == 0 || strcmp (first, "audit") == 0
                || strcmp (first, "status") == 0 || strcmp (first, "drain") == 0
                || strcmp (first, "announce") == 0))
-    operator_handle (e, call, first);
+    operator_handle (e, http, first);
   else
-    entry_problem (e, call, CFS_CODE_NOT_FOUND, CFS_NOT_RUN,
+    entry_problem (e, http, CFS_CODE_NOT_FOUND, CFS_NOT_RUN,
                    "no such resource");
   free (path);
 }
 
 void
-cfs_entry_handle_request (struct cfs_entry *e, struct cfs_http_request *call)
+cfs_entry_handle_request (struct cfs_entry *e, struct cfs_http_request *http)
 {
-  const char *path = cfs_http_request_path (call);
+  const char *path = cfs_http_request_path (http);
 
   if (strcmp (path, "/healthz") == 0)
-    respond_health (call, true);
+    respond_health (http, true);
   else if (strcmp (path, "/readyz") == 0)
     respond_health (
-        call, !e->draining
+        http, !e->draining
                   && cfs_directory_has_lease (e->setup.directory, cfs_now ()));
   else if (strcmp (path, "/metrics") == 0)
-    respond_metrics (e, call);
+    respond_metrics (e, http);
   else
-    handle_api_request (e, call);
+    handle_api_request (e, http);
 }
--- a/src/request/entry.h
+++ b/src/request/entry.h
@@ -40,7 +40,7 @@
 
 /** cfs_entry_handle_request() - a whole HTTP request */
 void cfs_entry_handle_request (struct cfs_entry *entry,
-                               struct cfs_http_request *call);
+                               struct cfs_http_request *http);
 
 /** cfs_entry_gate_reply() - a gate answered */
 void cfs_entry_gate_reply (struct cfs_entry *entry, const Cfs__Answer *in,
--- a/src/request/entry_int.h
+++ b/src/request/entry_int.h
@@ -41,7 +41,7 @@
 {
   struct cfs_request request;
   struct cfs_entry *entry;
-  struct cfs_http_request *call;
+  struct cfs_http_request *http;
   struct cfs_token token;
   enum entry_request_state state;
   uint64_t id;
@@ -71,7 +71,7 @@
 struct operator_request
 {
   uint64_t id;
-  struct cfs_http_request *call;
+  struct cfs_http_request *http;
 };
 
 struct cfs_entry
@@ -79,9 +79,9 @@
   struct cfs_entry_setup setup;
   struct cfs_admit admit;
   apr_pool_t *pool;
-  apr_hash_t *sent;
+  apr_hash_t *sent_requests;
   struct entry_request *requests;
-  size_t open;
+  size_t open_count;
   uint64_t next_id;
   unsigned char token_key[TOKEN_KEY_BYTES];
   struct cfs_table sent_announcements;
@@ -96,19 +96,19 @@
 uint64_t entry_id (struct cfs_entry *entry);
 
 /** entry_problem() - answers with problem+json */
-void entry_problem (struct cfs_entry *entry, struct cfs_http_request *call,
+void entry_problem (struct cfs_entry *entry, struct cfs_http_request *http,
                     enum cfs_code code, enum cfs_outcome outcome,
                     const char *detail);
 
 /** entry_bearer() - the presented key, or NULL */
-const char *entry_bearer (const struct cfs_http_request *call);
+const char *entry_bearer (const struct cfs_http_request *http);
 
 /** statement_handle() - /v1/groups/... and /v1/sheets/... */
-void statement_handle (struct cfs_entry *entry, struct cfs_http_request *call,
+void statement_handle (struct cfs_entry *entry, struct cfs_http_request *http,
                        char **parts, size_t count);
 
 /** operator_handle() - /v1/config, /v1/audit, /v1/status, /v1/announce */
-void operator_handle (struct cfs_entry *entry, struct cfs_http_request *call,
+void operator_handle (struct cfs_entry *entry, struct cfs_http_request *http,
                       const char *what);
 
 /** entry_submit() - takes a checked job into admission */
--- a/src/request/entry_operator.c
+++ b/src/request/entry_operator.c
@@ -84,17 +84,17 @@
 static void
 send_to_control (struct cfs_entry *e, const Cfs__Instance *in, int64_t now)
 {
-  struct sent_announcement *row
+  struct sent_announcement *last
       = cfs_table_add (&e->sent_announcements, in->name);
   uint64_t digest = digest_of (in);
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__Heartbeat h = CFS__HEARTBEAT__INIT;
   Cfs__Instance *list[1] = { (Cfs__Instance *)in };
 
-  if (row->digest == digest && now - row->at < ANNOUNCE_REFRESH_US)
+  if (last->digest == digest && now - last->at < ANNOUNCE_REFRESH_US)
     return;
-  row->digest = digest;
-  row->at = now;
+  last->digest = digest;
+  last->at = now;
   h.instances = list;
   h.n_instances = 1;
   out.body_case = CFS__PEER__BODY_HEARTBEAT;
@@ -117,28 +117,28 @@
 }
 
 static void
-handle_announcement (struct cfs_entry *e, struct cfs_http_request *call)
+handle_announcement (struct cfs_entry *e, struct cfs_http_request *http)
 {
   struct cfs_http_response ok = { .status = HTTP_OK, .body = "{}" };
   GError *error = NULL;
   cJSON *doc;
   Cfs__Instance in;
 
-  if (!key_matches (entry_bearer (call), e->setup.settings->announce_hash))
+  if (!key_matches (entry_bearer (http), e->setup.settings->announce_hash))
     {
-      entry_problem (e, call, CFS_CODE_UNAUTHENTICATED, CFS_NOT_RUN,
+      entry_problem (e, http, CFS_CODE_UNAUTHENTICATED, CFS_NOT_RUN,
                      "not the key of targets");
       return;
     }
-  doc = cfs_json_parse (cfs_http_request_body (call), "body", &error);
+  doc = cfs_json_parse (cfs_http_request_body (http), "body", &error);
   if (!doc || !cfs_schema_check (doc, announce_fields, "body", &error))
-    entry_problem (e, call, CFS_CODE_BAD_REQUEST, CFS_NOT_RUN, error->message);
+    entry_problem (e, http, CFS_CODE_BAD_REQUEST, CFS_NOT_RUN, error->message);
   else
     {
       fill_instance (doc, &in);
       send_to_gate (e, &in);
       send_to_control (e, &in, cfs_now ());
-      cfs_http_respond (call, &ok);
+      cfs_http_respond (http, &ok);
     }
   g_clear_error (&error);
   cJSON_Delete (doc);
@@ -146,9 +146,9 @@
 
 /* Version of If-Match: "N"; returns false when it is malformed. */
 static bool
-read_if_match (const struct cfs_http_request *call, uint64_t *version)
+read_if_match (const struct cfs_http_request *http, uint64_t *version)
 {
-  const char *text = cfs_http_request_header (call, "If-Match");
+  const char *text = cfs_http_request_header (http, "If-Match");
   char *end;
 
   if (!text || text[0] != '"' || text[1] < '0' || text[1] > '9')
@@ -158,26 +158,26 @@
 }
 
 static void
-forward_to_control (struct cfs_entry *e, struct cfs_http_request *call,
+forward_to_control (struct cfs_entry *e, struct cfs_http_request *http,
                     enum cfs_operator_kind kind, uint64_t version)
 {
-  const char *request_id = cfs_http_request_header (call, "Request-Id");
-  const char *who = cfs_http_request_header (call, "Operator");
+  const char *request_id = cfs_http_request_header (http, "Request-Id");
+  const char *who = cfs_http_request_header (http, "Operator");
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__OperatorCall m = CFS__OPERATOR_CALL__INIT;
-  struct operator_request *row;
+  struct operator_request *pending;
   char own_id[24];
 
   cfs_grow (&e->operator_requests, &e->operator_request_cap,
             e->operator_request_count, sizeof *e->operator_requests);
-  row = &e->operator_requests[e->operator_request_count++];
-  row->id = entry_id (e);
-  row->call = call;
-  g_snprintf (own_id, sizeof own_id, "%" PRIx64, row->id);
-  m.id = row->id;
+  pending = &e->operator_requests[e->operator_request_count++];
+  pending->id = entry_id (e);
+  pending->http = http;
+  g_snprintf (own_id, sizeof own_id, "%" PRIx64, pending->id);
+  m.id = pending->id;
   m.kind = kind;
   m.base_version = version;
-  m.body = (char *)cfs_http_request_body (call);
+  m.body = (char *)cfs_http_request_body (http);
   m.who = (char *)(who ? who : "operator");
   m.request_id = (char *)(request_id ? request_id : own_id);
   out.body_case = CFS__PEER__BODY_CALL;
@@ -186,9 +186,9 @@
 }
 
 static void
-handle_config_request (struct cfs_entry *e, struct cfs_http_request *call)
+handle_config_request (struct cfs_entry *e, struct cfs_http_request *http)
 {
-  const char *method = cfs_http_request_method (call);
+  const char *method = cfs_http_request_method (http);
   struct cfs_http_response refused = { .status = HTTP_METHOD, .body = "{}" };
   uint64_t version = 0;
   GError *error = NULL;
@@ -196,54 +196,54 @@
 
   if (strcmp (method, "GET") == 0)
     {
-      forward_to_control (e, call, OPERATOR_CONFIG, 0);
+      forward_to_control (e, http, OPERATOR_CONFIG, 0);
       return;
     }
   if (strcmp (method, "PATCH") != 0)
     {
-      cfs_http_respond (call, &refused);
+      cfs_http_respond (http, &refused);
       return;
     }
-  if (!read_if_match (call, &version))
+  if (!read_if_match (http, &version))
     {
       refused.status = HTTP_PRECONDITION_REQUIRED;
       refused.body = "{\"detail\":\"If-Match: \\\"N\\\" is required\"}";
-      cfs_http_respond (call, &refused);
+      cfs_http_respond (http, &refused);
       return;
     }
-  doc = cfs_json_parse (cfs_http_request_body (call), "patch", &error);
+  doc = cfs_json_parse (cfs_http_request_body (http), "patch", &error);
   if (doc)
-    forward_to_control (e, call, OPERATOR_PATCH, version);
+    forward_to_control (e, http, OPERATOR_PATCH, version);
   else
-    entry_problem (e, call, CFS_CODE_BAD_REQUEST, CFS_NOT_RUN, error->message);
+    entry_problem (e, http, CFS_CODE_BAD_REQUEST, CFS_NOT_RUN, error->message);
   g_clear_error (&error);
   cJSON_Delete (doc);
 }
 
 void
-operator_handle (struct cfs_entry *e, struct cfs_http_request *call,
+operator_handle (struct cfs_entry *e, struct cfs_http_request *http,
                  const char *resource)
 {
   if (strcmp (resource, "announce") == 0)
     {
-      handle_announcement (e, call);
+      handle_announcement (e, http);
       return;
     }
-  if (!key_matches (entry_bearer (call), e->setup.settings->operator_hash))
-    entry_problem (e, call, CFS_CODE_UNAUTHENTICATED, CFS_NOT_RUN,
+  if (!key_matches (entry_bearer (http), e->setup.settings->operator_hash))
+    entry_problem (e, http, CFS_CODE_UNAUTHENTICATED, CFS_NOT_RUN,
                    "not the key of operators");
   else if (strcmp (resource, "config") == 0)
-    handle_config_request (e, call);
+    handle_config_request (e, http);
   else if (strcmp (resource, "drain") == 0)
     {
       struct cfs_http_response ok = { .status = HTTP_OK, .body = "{}" };
 
       e->setup.stop (e->setup.ctx);
-      cfs_http_respond (call, &ok);
+      cfs_http_respond (http, &ok);
     }
   else
     forward_to_control (
-        e, call,
+        e, http,
         strcmp (resource, "audit") == 0 ? OPERATOR_AUDIT : OPERATOR_STATUS, 0);
 }
 
@@ -258,7 +258,7 @@
   for (size_t i = 0; i < e->operator_request_count; i++)
     if (e->operator_requests[i].id == in->id)
       {
-        cfs_http_respond (e->operator_requests[i].call, &a);
+        cfs_http_respond (e->operator_requests[i].http, &a);
         e->operator_requests[i]
             = e->operator_requests[--e->operator_request_count];
         return;
--- a/src/request/entry_statement.c
+++ b/src/request/entry_statement.c
@@ -30,13 +30,13 @@
         END_FIELD };
 
 static struct entry_request *
-new_request (struct cfs_entry *e, struct cfs_http_request *call,
+new_request (struct cfs_entry *e, struct cfs_http_request *http,
              enum cfs_request_kind kind, const char *group)
 {
   struct entry_request *er = cfs_alloc (sizeof *er);
 
   er->entry = e;
-  er->call = call;
+  er->http = http;
   er->request.kind = kind;
   er->request.payload = er;
   cfs_copy (er->group, sizeof er->group, group);
@@ -47,8 +47,8 @@
 static void
 reject (struct entry_request *er, enum cfs_code code, const char *detail)
 {
-  entry_problem (er->entry, er->call, code, CFS_NOT_RUN, detail);
-  er->call = NULL;
+  entry_problem (er->entry, er->http, code, CFS_NOT_RUN, detail);
+  er->http = NULL;
   entry_free_request (er);
 }
 
@@ -108,7 +108,7 @@
 static int64_t
 read_body (struct entry_request *er, const struct cfs_field *fields)
 {
-  const char *text = cfs_http_request_body (er->call);
+  const char *text = cfs_http_request_body (er->http);
   GError *error = NULL;
   cJSON *doc = cfs_json_parse (*text ? text : "{}", "body", &error);
   int64_t deadline = 0;
@@ -158,8 +158,8 @@
 static bool
 read_resend_headers (struct entry_request *er)
 {
-  const char *key = cfs_http_request_header (er->call, "Idempotency-Key");
-  const char *repeatable = cfs_http_request_header (er->call, "Repeatable");
+  const char *key = cfs_http_request_header (er->http, "Idempotency-Key");
+  const char *repeatable = cfs_http_request_header (er->http, "Repeatable");
 
   if (repeatable && strcasecmp (repeatable, "no") == 0)
     er->request.send_once = true;
@@ -174,11 +174,11 @@
 static bool
 read_token (struct entry_request *er)
 {
-  const char *text = cfs_http_request_header (er->call, "Session");
+  const char *text = cfs_http_request_header (er->http, "Session");
   const struct cfs_token_entry *seen;
 
   if (!text)
-    text = cfs_http_request_cookie (er->call, "coltsfootstage-session");
+    text = cfs_http_request_cookie (er->http, "coltsfootstage-session");
   if (!text || !*text)
     return true;
   if (cfs_token_read (text, er->entry->token_key, &er->token) != CFS_OK)
@@ -218,48 +218,48 @@
 }
 
 static const struct cfs_team *
-authenticate (struct cfs_entry *e, struct cfs_http_request *call)
+authenticate (struct cfs_entry *e, struct cfs_http_request *http)
 {
-  const char *key = entry_bearer (call);
+  const char *key = entry_bearer (http);
 
   return key ? cfs_conf_authenticate (e->setup.directory->conf, key) : NULL;
 }
 
 static void
-handle_sheet_request (struct cfs_entry *e, struct cfs_http_request *call,
+handle_sheet_request (struct cfs_entry *e, struct cfs_http_request *http,
                       const char *name)
 {
   const struct cfs_conf *conf = e->setup.directory->conf;
   const struct cfs_sheet *sheet = cfs_conf_sheet (conf, name);
-  const struct cfs_team *team = authenticate (e, call);
+  const struct cfs_team *team = authenticate (e, http);
   const struct cfs_team *owner;
   struct entry_request *er;
 
-  if (entry_bearer (call) && !team)
+  if (entry_bearer (http) && !team)
     {
-      entry_problem (e, call, CFS_CODE_UNAUTHENTICATED, CFS_NOT_RUN,
+      entry_problem (e, http, CFS_CODE_UNAUTHENTICATED, CFS_NOT_RUN,
                      "the key is not known");
       return;
     }
   if (!sheet)
     {
-      entry_problem (e, call, CFS_CODE_NOT_FOUND, CFS_NOT_RUN,
+      entry_problem (e, http, CFS_CODE_NOT_FOUND, CFS_NOT_RUN,
                      "no such sheet");
       return;
     }
   owner = &conf->teams[sheet->team];
   if (!sheet->open && team != owner)
     {
-      entry_problem (e, call,
+      entry_problem (e, http,
                      team ? CFS_CODE_FORBIDDEN : CFS_CODE_UNAUTHENTICATED,
                      CFS_NOT_RUN, "the sheet is another team's");
       return;
     }
-  er = new_request (e, call, CFS_READ, sheet->group);
+  er = new_request (e, http, CFS_READ, sheet->group);
   er->sql = cfs_strdup (sheet->sql);
   er->request.max_age_us = sheet->max_age_us;
   if (team)
-    er->bearer = cfs_strdup (entry_bearer (call));
+    er->bearer = cfs_strdup (entry_bearer (http));
   accept_request (er, owner, team ? team->name : "", DEADLINE_DEFAULT_MS);
 }
 
@@ -281,29 +281,29 @@
 }
 
 static void
-handle_group_request (struct cfs_entry *e, struct cfs_http_request *call,
+handle_group_request (struct cfs_entry *e, struct cfs_http_request *http,
                       char **parts, size_t count)
 {
   enum cfs_request_kind kind = kind_of (parts, count);
-  const struct cfs_team *team = authenticate (e, call);
+  const struct cfs_team *team = authenticate (e, http);
   bool has_statement = kind == CFS_WRITE || kind == CFS_STATEMENT;
   struct entry_request *er;
   int64_t deadline;
 
   if (!team)
     {
-      entry_problem (e, call, CFS_CODE_UNAUTHENTICATED, CFS_NOT_RUN,
+      entry_problem (e, http, CFS_CODE_UNAUTHENTICATED, CFS_NOT_RUN,
                      "the key is not known");
       return;
     }
   if (kind == CFS_KIND_COUNT || strlen (parts[0]) >= CFS_NAME_MAX)
     {
-      entry_problem (e, call, CFS_CODE_NOT_FOUND, CFS_NOT_RUN,
+      entry_problem (e, http, CFS_CODE_NOT_FOUND, CFS_NOT_RUN,
                      "no such resource");
       return;
     }
-  er = new_request (e, call, kind, parts[0]);
-  er->bearer = cfs_strdup (entry_bearer (call));
+  er = new_request (e, http, kind, parts[0]);
+  er->bearer = cfs_strdup (entry_bearer (http));
   if (count == 4)
     cfs_copy (er->request.transaction, sizeof er->request.transaction,
               parts[2]);
@@ -314,30 +314,30 @@
 }
 
 void
-statement_handle (struct cfs_entry *e, struct cfs_http_request *call,
+statement_handle (struct cfs_entry *e, struct cfs_http_request *http,
                   char **parts, size_t count)
 {
   bool sheet = strcmp (parts[0], "sheets") == 0 && count == 2;
   const char *allowed = sheet ? "GET" : "POST";
 
-  if (strcmp (cfs_http_request_method (call), allowed) != 0)
+  if (strcmp (cfs_http_request_method (http), allowed) != 0)
     {
       struct cfs_http_response a = { .status = 405, .body = "{}" };
 
-      cfs_http_respond (call, &a);
+      cfs_http_respond (http, &a);
       return;
     }
   if (!cfs_directory_has_lease (e->setup.directory, cfs_now ()))
     {
-      entry_problem (e, call, CFS_CODE_NO_LEASE, CFS_NOT_RUN,
+      entry_problem (e, http, CFS_CODE_NO_LEASE, CFS_NOT_RUN,
                      "this host is cut off from the control group");
       return;
     }
   if (sheet)
-    handle_sheet_request (e, call, parts[1]);
+    handle_sheet_request (e, http, parts[1]);
   else if (count >= 2)
-    handle_group_request (e, call, parts + 1, count - 1);
+    handle_group_request (e, http, parts + 1, count - 1);
   else
-    entry_problem (e, call, CFS_CODE_NOT_FOUND, CFS_NOT_RUN,
+    entry_problem (e, http, CFS_CODE_NOT_FOUND, CFS_NOT_RUN,
                    "no such resource");
 }
