--- a/src/request/entry_int.h
+++ b/src/request/entry_int.h
@@ -109,7 +109,7 @@
 
 /** operator_handle() - /v1/config, /v1/audit, /v1/status, /v1/announce */
 void operator_handle (struct cfs_entry *entry, struct cfs_http_request *http,
-                      const char *what);
+                      const char *resource);
 
 /** entry_submit() - takes a checked job into admission */
 void entry_submit (struct cfs_entry *entry, struct entry_request *request,
