--- a/src/process/leader.c
+++ b/src/process/leader.c
@@ -1,12 +1,14 @@
 /*
  * One lease per host covers all resources assigned to it, so renewal costs
- * one message per host and interval however many groups there are.  A
- * resource moves only when its holder released it or can no longer act on
- * it.  While a move is in the log but not applied, the old holder's lease is
- * not renewed; the reply that renews it next also tells it of the move.
+ * one message per host and interval regardless of the number of groups.  A
+ * resource is reassigned only after its holder released it or the holder's
+ * lease expired.  While a reassignment is in the log but not applied, the
+ * lease of the old holder is not renewed; the reply that renews it next also
+ * contains the reassignment.
  *
- * Placement is by rendezvous hash among live hosts, those in the zone of the
- * primary first: it needs no table and moves little when hosts change.
+ * The new holder is chosen by rendezvous hashing among the live hosts, those
+ * in the zone of the primary first: this needs no table and moves few
+ * resources when hosts come or go.
  */
 #include "leader_int.h"
 
@@ -15,9 +17,11 @@
 #include <string.h>
 
 #define ASSIGN_BATCH 256
-/* A host that was silent for this time holds no share any more. */
+/* A recorded host that sent no heartbeat for this long is removed from the
+   record: its shares have expired long before. */
 #define SHARE_HOLDER_EXPIRY_US (20 * CFS_US_PER_S)
-/* Pause between proposals about the same host. */
+/* Minimum time between proposals to record a host, and between checks for
+   hosts to remove. */
 #define HOST_RECORD_RETRY_US (500 * CFS_US_PER_MS)
 
 static uint64_t
@@ -47,7 +51,9 @@
   return r && r->epoch == lease->epoch;
 }
 
-/* Whether the holder certainly does not act on the lease any more. */
+/* Whether the holder certainly no longer acts on the lease: it released it, or
+   its lease expired.  A holder unknown to this leader counts as leased by an
+   earlier leader until grace_end. */
 static bool
 is_free (const struct cfs_leader *l, const struct cfs_lease *lease,
          int64_t now)
@@ -98,7 +104,8 @@
   return best;
 }
 
-/* Assignments collected during one tick. */
+/* Assignments of one tick, proposed as one command; from[i] is the host that
+   assignment i takes the resource from, or NULL. */
 struct assignment_batch
 {
   Cfs__Assignment assignments[ASSIGN_BATCH];
@@ -148,7 +155,8 @@
   return i ? i->zone : NULL;
 }
 
-/* One batch at a time: the next waits until the last one is applied. */
+/* Assigns every resource that has no holder.  One batch at a time: the next is
+   proposed after the previous one is applied. */
 static void
 assign_free_resources (struct cfs_leader *l, int64_t now)
 {
@@ -199,7 +207,8 @@
   propose (l, &c);
 }
 
-/* Takes the announced primary of the highest term as a new group's first. */
+/* Takes the announced primary with the highest term as the first primary of a
+   new group. */
 static void
 discover_groups (struct cfs_leader *l, int64_t now)
 {
@@ -253,7 +262,9 @@
   cfs_shares_reset (&l->shares, now + l->share_wait_us);
 }
 
-/* Records a host before it is given shares, and drops a silent one. */
+/* Proposes to record a host, or with @gone to remove its record.  A host is
+   recorded before it gets shares, so that every later leader knows which hosts
+   may hold some. */
 static void
 propose_host_record (struct cfs_leader *l, const char *name, bool gone)
 {
@@ -277,8 +288,8 @@
   propose_host_record (l, h->name, false);
 }
 
-/* Once every recorded host has told what it holds, no share of an earlier
-   leader is unknown any more. */
+/* Removes the record of a host that has been silent for too long, one at a
+   time. */
 static void
 expire_share_holders (struct cfs_leader *l, int64_t now)
 {
@@ -301,6 +312,8 @@
     }
 }
 
+/* Whether every recorded host has reported what it holds; then no share that
+   an earlier leader granted is unknown any more. */
 static bool
 all_shares_reported (const struct cfs_leader *l, int64_t *idle_since)
 {
@@ -383,8 +396,9 @@
   propose (l, &c);
 }
 
-/* A host that holds no share has let nothing pass since it was last used,
-   and will not before it gets one. */
+/* Evaluates the first report of a host after the election.  A host that holds
+   no share has let no operation pass since its idle time began, and lets none
+   pass until it gets one. */
 static void
 record_share_report (struct cfs_host *h, const Cfs__Heartbeat *in, int64_t now)
 {
--- a/src/process/leader.h
+++ b/src/process/leader.h
@@ -1,10 +1,12 @@
 /**
- * DOC: Decisions of the control leader: host leases, placement of gates and
- * limiters, grants of terms, discovery of groups.
+ * DOC: Control leader: renews the leases of the hosts, assigns gates and
+ * limiters to hosts, grants terms, discovers database groups, and leases
+ * shares of the teams' rates.
  *
- * Renewals live in the leader's memory; only changes of a holder go through
- * the replicated log.  A new leader therefore waits one full lease before it
- * moves anything that it did not see released.  No I/O and no clock.
+ * Only a change of a lease's holder goes through the replicated log; renewals
+ * are kept in the leader's memory.  A new leader does not know them and so
+ * waits for one full lease before it reassigns a resource that it did not see
+ * released.  No I/O; no clock is read.
  */
 #ifndef CFS_LEADER_H
 #define CFS_LEADER_H
@@ -15,37 +17,61 @@
 #include "raft.h"
 #include "state.h"
 
-/* A host may act on its leases this long after it sent its heartbeat. */
+/* Lease time: counted by the host from when it sent its heartbeat. */
 #define LEASE_US (1500 * CFS_US_PER_MS)
-/* The leader waits this long after it answered, for drift between clocks. */
+/* The same, counted by the leader from when it answered the heartbeat: 5 %
+   longer, for the drift between the clocks. */
 #define LEASE_WAIT_US (LEASE_US + LEASE_US / 20)
-/* Time between heartbeats of a host. */
+/* Heartbeat interval of a host. */
 #define HEARTBEAT_US (300 * CFS_US_PER_MS)
-/* The same while a change of primary is under way. */
+/* Heartbeat interval while a failover is under way. */
 #define HEARTBEAT_URGENT_US (25 * CFS_US_PER_MS)
-/* A host silent for longer is given nothing new. */
+/* A host that sent no heartbeat for this long is assigned nothing new. */
 #define HOST_FRESH_US (700 * CFS_US_PER_MS)
-/* A host or instance silent for longer is forgotten. */
+/* A host or instance that sent no heartbeat for this long is removed from the
+   leader's memory. */
 #define HOST_EXPIRY_US (600 * CFS_US_PER_S)
-/* Announcements are collected this long before a group's first term. */
+/* Time for which announcements of instances are collected before the first
+   primary of a new group is chosen among them. */
 #define GROUP_DISCOVERY_US (300 * CFS_US_PER_MS)
 
-/* Targets that a host may report as out of reach at a time. */
+/* Maximum number of targets that a host can report as unreachable. */
 #define HOST_SUSPECTS_MAX 8
 
 struct cfs_leader;
 
 /**
- * struct cfs_leader_ops - effects of the leader
+ * struct cfs_leader_ops - callbacks of the leader
  * @propose: appends a packed command to the replicated log and returns its
- * index, or 0 when it was refused
+ * index, or 0 on failure
  */
 struct cfs_leader_ops
 {
   uint64_t (*propose) (void *ctx, const uint8_t *data, size_t len);
 };
 
-/** struct cfs_host - what the leader knows of one host; not replicated */
+/**
+ * struct cfs_host - host as seen by the leader; not replicated
+ * @name: name, key of the table
+ * @zone: zone of the host
+ * @address: address for traffic
+ * @port: port for traffic
+ * @boot: boot id of the running process
+ * @version: configuration version that the host holds
+ * @fence: log index of the last assignment that takes a resource away from the
+ * host; its lease is not renewed until this index is applied
+ * @seen_at: time of the last heartbeat
+ * @lease_end: end of the lease of the running process
+ * @old_boot_lease_end: latest end of a lease of its earlier processes
+ * @draining: the host asked for no new assignments
+ * @suspects: targets that the host cannot reach
+ * @suspect_count: their number
+ * @shares_reported: whether the host reported the shares that it holds, since
+ * this leader's election
+ * @idle_since: start of the time in which the host certainly let no operation
+ * pass, by its first report; the time of the report if it holds a share
+ * @recorded_at: time of the last proposal to record the host
+ */
 struct cfs_host
 {
   char name[CFS_NAME_MAX];
@@ -66,7 +92,23 @@
   int64_t recorded_at;
 };
 
-/** struct cfs_instance - what the leader knows of one target instance */
+/**
+ * struct cfs_instance - database instance as seen by the leader; not
+ * replicated
+ * @name: name, key of the table
+ * @group: database group
+ * @zone: zone of the instance
+ * @address: address of the instance
+ * @port: port of the instance
+ * @slots: statements that it runs at a time
+ * @connections: connections that it accepts
+ * @term: highest term that it has seen
+ * @position: log position that it has reached
+ * @primary: it announced itself as primary
+ * @leaving: it announced that it is about to stop
+ * @first_seen: time of its first announcement
+ * @seen_at: time of its last announcement
+ */
 struct cfs_instance
 {
   char name[CFS_NAME_MAX];
@@ -85,88 +127,90 @@
 };
 
 /**
- * cfs_leader_new() - a leader that is not leading yet
- * @ops: effects, must outlive it
- * @ctx: first argument of every effect
+ * cfs_leader_new() - creates the leader's part of a control host, inactive
+ * @ops: callbacks, must outlive it
+ * @ctx: first argument of every callback
  * @state: replicated state, must outlive it
  *
- * Return: freed by cfs_leader_free().
+ * Return: the leader, to be freed with cfs_leader_free().
  */
 struct cfs_leader *cfs_leader_new (const struct cfs_leader_ops *ops, void *ctx,
                                    const struct cfs_state *state);
 
-/** cfs_leader_free() - frees the leader and its tables */
 void cfs_leader_free (struct cfs_leader *leader);
 
 /**
- * cfs_leader_tick() - placement; to be called at least every 100 ms
+ * cfs_leader_tick() - makes due decisions; call at least every 100 ms
  * @leader: leader
- * @ready: whether this host leads with a confirmed majority at @now
- * @applied: log index up to which @state is applied
- * @now: time
+ * @ready: whether cfs_raft_leader_confirmed() is true at @now
+ * @applied: index of the last log entry applied to the replicated state
+ * @now: current time
  */
 void cfs_leader_tick (struct cfs_leader *leader, bool ready, uint64_t applied,
                       int64_t now);
 
 /**
- * cfs_leader_heartbeat() - answers a host
+ * cfs_leader_heartbeat() - handles the heartbeat of a host
  * @leader: leader
  * @in: the heartbeat
- * @now: time
+ * @now: current time
  *
- * The lease is renewed when the reply says granted.
- * Return: the reply, owned by the leader until the next call, or NULL when
- * this host does not lead.
+ * The host's lease is renewed if granted is set in the reply.
+ * Return: the reply, valid until the next call, or NULL if this host is not
+ * the leader or @in names no host.
  */
 const Cfs__HeartbeatReply *cfs_leader_heartbeat (struct cfs_leader *leader,
                                                  const Cfs__Heartbeat *in,
                                                  int64_t now);
 
 /**
- * cfs_leader_in_force() - whether every host that can serve holds a version
+ * cfs_leader_in_force() - whether every host with a lease holds a version
  * @leader: leader
- * @version: number
- * @now: time
+ * @version: configuration version, or a later one
+ * @now: current time
  */
 bool cfs_leader_in_force (const struct cfs_leader *leader, uint64_t version,
                           int64_t now);
 
 /**
- * cfs_leader_set_document_decoder() - configuration by whole documents
- * @decoder: decodes them, must outlive the leader
- * @lease_us: how long a host acts on a version and on its shares
+ * cfs_leader_set_document_decoder() - takes the configuration from whole
+ * documents
+ * @decoder: decodes a document, must outlive the leader
+ * @lease_us: time for which a host may use a version and its shares
  */
 void
 cfs_leader_set_document_decoder (struct cfs_leader *leader,
                                  const struct cfs_document_decoder *decoder,
                                  int64_t lease_us);
 
-/** cfs_leader_set_members() - members of the control group, told to hosts */
+/** cfs_leader_set_members() - sets the control group's members that replies
+ * to hosts list */
 void cfs_leader_set_members (struct cfs_leader *leader,
                              const struct cfs_raft_membership *members);
 
 /**
- * cfs_leader_count_suspecting_hosts() - number of hosts that cannot reach a
- * target
- * @hosts: set to the number of hosts that are alive
+ * cfs_leader_count_suspecting_hosts() - number of hosts that report a target
+ * as unreachable
+ * @hosts: set to the number of live hosts, which may make such a report
  */
 size_t cfs_leader_count_suspecting_hosts (const struct cfs_leader *leader,
                                           const char *target, int64_t now,
                                           size_t *hosts);
 
 /**
- * cfs_leader_grant_tokens() - grants tokens beyond the shares
+ * cfs_leader_grant_tokens() - grants a host tokens beyond its shares
  *
- * Return: the grant, owned by the leader until the next call.
+ * Return: the grant, valid until the next call.
  */
 const Cfs__TokensGrant *cfs_leader_grant_tokens (struct cfs_leader *leader,
                                                  const Cfs__TokensAsk *ask,
                                                  int64_t now);
 
-/** cfs_leader_catalog() - the version in force, NULL before the first */
+/** cfs_leader_catalog() - configuration of the last document, NULL if there is
+ * none or if it cannot be decoded */
 const struct cfs_catalog *cfs_leader_catalog (const struct cfs_leader *leader);
 
-/** cfs_leader_hosts() - rows of struct cfs_host, read only */
+/** cfs_leader_hosts() - table of struct cfs_host, read only */
 const struct cfs_table *cfs_leader_hosts (const struct cfs_leader *leader);
 
 #endif
--- a/src/process/leader_int.h
+++ b/src/process/leader_int.h
@@ -1,6 +1,5 @@
 /**
- * DOC: Private parts of the control leader, shared by leader.c and
- * leader_reply.c.
+ * DOC: Internals of the control leader, shared by leader.c and leader_reply.c.
  */
 #ifndef CFS_LEADER_INT_H
 #define CFS_LEADER_INT_H
@@ -9,14 +8,15 @@
 
 #include "shares.h"
 
-/* A resource that its holder gave back at a certain epoch. */
+/* A resource that its holder of this epoch has released. */
 struct release
 {
   char resource[CFS_NAME_MAX];
   uint64_t epoch;
 };
 
-/* Rows of the reply under construction, kept between calls. */
+/* Replies under construction and the arrays that they refer to, which are
+   reused between calls. */
 struct reply_buffers
 {
   Cfs__HeartbeatReply msg;
@@ -50,6 +50,29 @@
   size_t team_cap;
 };
 
+/**
+ * struct cfs_leader - control leader
+ * @state: replicated state
+ * @conf: configuration, if there is no decoder
+ * @hosts: table of struct cfs_host
+ * @instances: table of struct cfs_instance
+ * @releases: table of struct release
+ * @leading: whether this host is the confirmed leader
+ * @applied: index of the last log entry applied to @state
+ * @assign_index: log index of the last assignments proposed
+ * @grace_end: until then leases may be held that an earlier leader renewed
+ * @reply: buffers of the replies
+ * @decoder: decodes documents, or NULL
+ * @catalog: configuration, if there is a decoder
+ * @conf_loaded: whether @conf or @catalog was loaded, at @conf_version
+ * @conf_version: version that was loaded last
+ * @share_wait_us: time after which a share of a silent host has certainly
+ * expired
+ * @led_since: time of the election
+ * @holders_checked_at: time of the last check for expired share holders
+ * @shares: shares and tokens of the teams
+ * @members: members of the control group
+ */
 struct cfs_leader
 {
   const struct cfs_leader_ops *ops;
@@ -75,21 +98,25 @@
   struct cfs_raft_membership members;
 };
 
-/** leader_reply_conf() - what a host lacks of the configuration */
+/** leader_reply_conf() - adds what a host with version @have lacks of the
+ * configuration */
 void leader_reply_conf (struct cfs_leader *leader, uint64_t have);
 
-/** leader_reply_directory() - leases, groups and instances that changed */
+/** leader_reply_directory() - if the directory changed since the host's index,
+ * adds the leases and groups that changed, and the instances of every group
+ * whose gate the host holds */
 void leader_reply_directory (struct cfs_leader *leader,
                              const Cfs__Heartbeat *in);
 
-/** leader_reply_fleet() - targets, changes of primary, shares and members */
+/** leader_reply_fleet() - adds targets, failovers, shares and members */
 void leader_reply_fleet (struct cfs_leader *leader, const Cfs__Heartbeat *in,
                          int64_t now);
 
-/** leader_reply_end() - frees the rows of the fleet's part */
+/** leader_reply_end() - frees the buffers of leader_reply_fleet() and of
+ * cfs_leader_grant_tokens() */
 void leader_reply_end (struct cfs_leader *leader);
 
-/** leader_members_hash() - tells lists of members apart, never 0 */
+/** leader_members_hash() - hash of the members' names, never 0 */
 uint64_t leader_members_hash (const struct cfs_raft_membership *members);
 
 #endif
--- a/src/process/leader_reply.c
+++ b/src/process/leader_reply.c
@@ -1,6 +1,7 @@
 /*
- * Builds the reply to a heartbeat from what changed since the host's own
- * marks, so that a reply in steady state carries nothing but the lease.
+ * Builds the reply to a heartbeat.  It contains only what changed since the
+ * version, directory index and members hash in the heartbeat, so in steady
+ * state it carries little more than the lease renewal.
  */
 #include "leader_int.h"
 
@@ -8,7 +9,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Room for @need rows and as many pointers to them. */
+/* Makes room for @need items of @size bytes and as many pointers to them; the
+   former contents are lost. */
 static void
 reserve (void *items, void *list, size_t *cap, size_t need, size_t size)
 {
@@ -24,7 +26,8 @@
   *p = cfs_alloc (*cap * sizeof (void *));
 }
 
-/* Patches since the host's version, or the document when they are gone. */
+/* Adds the patches since the host's version, or the whole document if they are
+   no longer kept. */
 void
 leader_reply_conf (struct cfs_leader *l, uint64_t have)
 {
