--- a/src/process/directory.c
+++ b/src/process/directory.c
@@ -1,7 +1,7 @@
 /*
- * Plain tables, replaced row by row.  The lease is extended last, after all
- * else of the same reply is in place, so that a renewed lease never covers
- * an assignment that has gone to another host.
+ * An update replaces single entries of the tables.  The lease is extended
+ * last, after everything else in the reply has been taken over, so that a
+ * renewed lease never covers a resource that was assigned to another host.
  */
 #include "directory.h"
 
--- a/src/process/disk.c
+++ b/src/process/disk.c
@@ -1,8 +1,12 @@
 /*
- * Record: length, checksum, index, term, kind, data; numbers little-endian.
- * Offsets of the entries in the file are kept so that a truncation is one
- * ftruncate().  A snapshot rewrites the log into a new file that replaces
- * the old one after both are synced, so a crash leaves one whole pair.
+ * Record: length, checksum, index, term, kind, 4 zero bytes, data; integers
+ * are little-endian.  The file offset of each record is kept in memory, so a
+ * truncation is a single ftruncate().
+ *
+ * Saving a snapshot replaces first the snapshot file, then the log by a copy
+ * without the covered entries; each replacement is atomic.  After a crash
+ * between the two the log still holds covered entries, which are skipped on
+ * opening.
  */
 #include "disk.h"
 
@@ -102,7 +106,8 @@
   return RECORD_HEAD + e->len;
 }
 
-/* Length of the record at @p, 0 when it is not whole and sound. */
+/* Size of the record at @p, or 0 if it is incomplete or its checksum is
+   wrong. */
 static size_t
 valid_record_size (const uint8_t *p, size_t left)
 {
@@ -119,8 +124,8 @@
   return RECORD_HEAD + (size_t)len;
 }
 
-/* Whether any sound record starts behind a damaged place: then the damage is
-   not a torn tail. */
+/* Whether any valid record starts after an invalid one: then the log is
+   corrupted in the middle, and not just cut short by a crash. */
 static bool
 valid_record_follows (const uint8_t *p, size_t left)
 {
@@ -156,8 +161,8 @@
     memcpy (e->data, p + RECORD_HEAD, e->len);
 }
 
-/* Reads the log behind the snapshot.  Invariant of the loop: everything
-   before offset is sound. */
+/* Reads the entries after the snapshot.  Loop invariant: all records before
+   offset are valid. */
 static bool
 load_log (struct cfs_disk *d, struct cfs_raft_initial_state *initial,
           GError **error)
@@ -178,7 +183,7 @@
           if (valid_record_follows (data + offset, len - offset))
             ok = set_error (
                 error, d->folder, LOG_FILE,
-                "damaged before its last record; replace this disk");
+                "corrupted before the last record; replace this disk");
           break;
         }
       index = get64 (data + offset + 8);
@@ -187,7 +192,8 @@
           if (index != initial->snapshot.index + initial->count + 1)
             {
               ok = set_error (error, d->folder, LOG_FILE,
-                              "a record is missing; replace this disk");
+                              "entries are missing between two records; "
+                              "replace this disk");
               break;
             }
           add_entry (initial, &cap, data + offset);
@@ -199,11 +205,14 @@
   d->end = (off_t)offset;
   if (ok && offset < len
       && (ftruncate (d->log, d->end) != 0 || !cfs_file_sync (d->log)))
-    ok = set_error (error, d->folder, LOG_FILE, "cannot cut a torn record");
+    ok = set_error (error, d->folder, LOG_FILE,
+                    "cannot remove the incomplete last record");
   return ok;
 }
 
-/* The snapshot file is one record whose data is a packed RaftMsg. */
+/* The snapshot file holds one record whose data is a packed RaftMsg.  Its
+   entries are the members: index is the id, kind whether it votes, data the
+   host name. */
 static size_t
 pack_snapshot (const struct cfs_raft_snapshot *s, uint8_t **out)
 {
@@ -274,7 +283,7 @@
   free (data);
   if (!m)
     return set_error (error, d->folder, SNAPSHOT_FILE,
-                      "damaged; replace this disk");
+                      "corrupted; replace this disk");
   unpack_snapshot (m, s);
   cfs__raft_msg__free_unpacked (m, NULL);
   return true;
@@ -308,7 +317,7 @@
       initial->vote = get64 (data + 16);
     }
   else if (data)
-    set_error (error, d->folder, VOTE_FILE, "damaged; replace this disk");
+    set_error (error, d->folder, VOTE_FILE, "corrupted; replace this disk");
   else
     {
       initial->id = new_id;
@@ -331,12 +340,13 @@
   int fd;
 
   if (mkdir (folder, 0700) != 0 && errno != EEXIST)
-    return set_error (error, folder, "", "cannot make the folder");
+    return set_error (error, folder, "", "cannot create the data folder");
   fd = cfs_file_open (folder, VOTE_FILE, O_RDONLY);
   if (fd >= 0)
     {
       close (fd);
-      return set_error (error, folder, VOTE_FILE, "the folder is in use");
+      return set_error (error, folder, VOTE_FILE,
+                        "the data folder is already initialized");
     }
   len = pack_snapshot (&s, &data);
   ok = cfs_file_replace (folder, SNAPSHOT_FILE, data, len)
@@ -366,7 +376,7 @@
   d->audit = -1;
   if (mkdir (folder, 0700) != 0 && errno != EEXIST)
     {
-      set_error (error, folder, "", "cannot make the folder");
+      set_error (error, folder, "", "cannot create the data folder");
       cfs_disk_close (d);
       return NULL;
     }
@@ -374,7 +384,8 @@
   d->audit = cfs_file_open (folder, AUDIT_FILE, O_WRONLY | O_CREAT | O_APPEND);
   if (d->log < 0 || d->audit < 0 || !cfs_file_sync_folder (folder))
     {
-      set_error (error, folder, LOG_FILE, "cannot open");
+      set_error (error, folder, LOG_FILE,
+                 "cannot open the log or the audit file");
       cfs_disk_close (d);
       return NULL;
     }
@@ -453,7 +464,7 @@
   return CFS_OK;
 }
 
-/* Writes the log behind @index into a new file that takes its place. */
+/* Replaces the log file by one with the entries after @index only. */
 static bool
 rewrite_log (struct cfs_disk *d, uint64_t index)
 {
--- a/src/process/disk.h
+++ b/src/process/disk.h
@@ -1,10 +1,12 @@
 /**
- * DOC: Durable files of a control host.
+ * DOC: Durable storage of a control host: vote, log, snapshot, audit trail.
  *
- * The log is a file of records, each with length and checksum; the vote and
- * the snapshot are files replaced as a whole.  A call that returns CFS_OK
- * has synced.  A torn last record is cut at opening; damage before it stops
- * the host, because promises made on it cannot be kept.
+ * The log is a file of records with length and checksum; the files of the
+ * vote and of the snapshot are replaced as a whole.  When a call returns
+ * CFS_OK, the data has been synced.  On opening, a last record that is
+ * incomplete or fails its checksum is taken for one torn by a crash and
+ * removed.  Corruption anywhere else is an error, and the host does not start:
+ * it can no longer keep to entries that it acknowledged or to its vote.
  */
 #ifndef CFS_DISK_H
 #define CFS_DISK_H
@@ -15,61 +17,74 @@
 
 struct cfs_disk;
 
-/** CFS_DISK_ERROR - domain of the errors of this module */
+/** CFS_DISK_ERROR - error domain of this module */
 #define CFS_DISK_ERROR (cfs_disk_error_quark ())
 
-/** cfs_disk_error_quark() - the error domain */
 GQuark cfs_disk_error_quark (void);
 
 /**
- * cfs_disk_format() - writes the identity of a first member
- * @folder: data folder, made when absent; must hold no log
- * @id: identity
- * @members: first members of the group
+ * cfs_disk_format() - initializes the data folder of a first member
+ * @folder: data folder, created if absent; must hold no vote yet
+ * @id: identity of the member
+ * @members: first members of the group, stored as a snapshot with index 0
+ * @error: set on failure
  */
 bool cfs_disk_format (const char *folder, uint64_t id,
                       const struct cfs_raft_membership *members,
                       GError **error);
 
-/** cfs_disk_exists() - whether a folder holds an identity or a log */
+/** cfs_disk_exists() - whether a folder is initialized: it holds a vote file
+ */
 bool cfs_disk_exists (const char *folder);
 
 /**
- * cfs_disk_open() - reads what is durable
- * @folder: data folder, made when absent
- * @initial: written; entries and snapshot pass to the caller
- * @new_id: identity to write when the folder is empty
- * @error: set on damage or failure
+ * cfs_disk_open() - opens a data folder and reads the durable state
+ * @folder: data folder, created if absent
+ * @initial: set to the durable state; the caller owns entries and snapshot
+ * @new_id: identity to store if the folder is empty
+ * @error: set on corruption or failure
  *
- * An empty folder is a lost or new disk: it gets @new_id and no members.
- * Return: freed by cfs_disk_close(), or NULL.
+ * An empty folder means a new or replaced disk: the host gets @new_id and
+ * starts without members.
+ * Return: the storage, to be closed with cfs_disk_close(), or NULL.
  */
 struct cfs_disk *cfs_disk_open (const char *folder,
                                 struct cfs_raft_initial_state *initial,
                                 uint64_t new_id, GError **error);
 
-/** cfs_disk_close() - closes the files */
 void cfs_disk_close (struct cfs_disk *disk);
 
-/** cfs_disk_save_vote() - replaces term and vote */
+/** cfs_disk_save_vote() - replaces term and vote; CFS_OK or CFS_IO */
 int cfs_disk_save_vote (struct cfs_disk *disk, uint64_t term, uint64_t vote);
 
-/** cfs_disk_append() - appends entries */
+/**
+ * cfs_disk_append() - appends entries to the log
+ *
+ * Return: CFS_OK; CFS_IO if nothing was appended; CFS_CORRUPT if an incomplete
+ * record may be left at the end.
+ */
 int cfs_disk_append (struct cfs_disk *disk,
                      const struct cfs_raft_entry *entries, size_t count);
 
-/** cfs_disk_truncate() - drops entries from @from on */
+/** cfs_disk_truncate() - removes entries with index @from and above; CFS_OK or
+ * CFS_IO */
 int cfs_disk_truncate (struct cfs_disk *disk, uint64_t from);
 
-/** cfs_disk_save_snapshot() - replaces the snapshot, drops covered entries */
+/**
+ * cfs_disk_save_snapshot() - replaces the snapshot and removes the entries
+ * that it covers
+ *
+ * Return: CFS_OK; CFS_IO if storing the snapshot failed; CFS_CORRUPT if it is
+ * stored but the log could not be rewritten.
+ */
 int cfs_disk_save_snapshot (struct cfs_disk *disk,
                             const struct cfs_raft_snapshot *snapshot);
 
-/** cfs_disk_append_audit() - appends a line to the audit trail */
+/** cfs_disk_append_audit() - appends a line to the audit trail; a failed
+ * write is ignored */
 void cfs_disk_append_audit (struct cfs_disk *disk, const char *line);
 
-/** cfs_disk_last_audited_version() - number of the last version in the audit
- * trail */
+/** cfs_disk_last_audited_version() - last version in the audit trail, or 0 */
 uint64_t cfs_disk_last_audited_version (struct cfs_disk *disk);
 
 #endif
--- a/src/process/file.c
+++ b/src/process/file.c
@@ -1,6 +1,6 @@
 /*
- * A file is replaced by writing another beside it, which is synced and then
- * renamed; a crash leaves one of the two whole.
+ * A file is replaced by writing FILE.new, syncing it and renaming it to FILE:
+ * after a crash FILE has either the old or the new contents.
  */
 #include "file.h"
 
@@ -17,7 +17,7 @@
 
 #define PART "disk"
 #define PATH_BYTES 4200
-/* A sync that takes longer is logged. */
+/* Syncs that take longer are logged. */
 #define SYNC_SLOW_US (300 * CFS_US_PER_MS)
 
 int
@@ -54,9 +54,9 @@
   int64_t took = cfs_now () - start;
 
   if (!ok)
-    cfs_log (CFS_WARNING, PART, "sync fails: %s", strerror (errno));
+    cfs_log (CFS_WARNING, PART, "fsync failed: %s", strerror (errno));
   else if (took > SYNC_SLOW_US)
-    cfs_log (CFS_WARNING, PART, "sync took_ms=%lld",
+    cfs_log (CFS_WARNING, PART, "slow fsync took_ms=%lld",
              (long long)(took / CFS_US_PER_MS));
   return ok;
 }
--- a/src/process/file.h
+++ b/src/process/file.h
@@ -1,7 +1,8 @@
 /**
- * DOC: Files in the data folder of a control host.
+ * DOC: File operations in the data folder of a control host.
  *
- * What these calls report as done survives a loss of power.
+ * Data whose sync or replacement is reported as successful survives a power
+ * failure.
  */
 #ifndef CFS_FILE_H
 #define CFS_FILE_H
@@ -11,31 +12,32 @@
 #include <stdint.h>
 
 /**
- * cfs_file_open() - opens or makes a file in a folder
- * @flags: as of open()
+ * cfs_file_open() - opens a file in a folder
+ * @flags: flags of open(); a new file gets mode 0600
  *
  * Return: a descriptor that the caller closes, or -1 with errno set.
  */
 int cfs_file_open (const char *folder, const char *file, int flags);
 
-/** cfs_file_write() - writes all bytes; false when that fails */
+/** cfs_file_write() - writes all bytes; false on failure */
 bool cfs_file_write (int fd, const uint8_t *data, size_t len);
 
-/** cfs_file_sync() - syncs a file; failures and slow disks are logged */
+/** cfs_file_sync() - syncs a file; logs failures and slow syncs */
 bool cfs_file_sync (int fd);
 
-/** cfs_file_sync_folder() - makes names in a folder durable */
+/** cfs_file_sync_folder() - syncs the directory entries of a folder */
 bool cfs_file_sync_folder (const char *folder);
 
-/** cfs_file_replace() - makes @data the whole content, or changes nothing */
+/** cfs_file_replace() - atomically replaces the contents of a file, which is
+ * created if absent; false on failure */
 bool cfs_file_replace (const char *folder, const char *file,
                        const uint8_t *data, size_t len);
 
 /**
- * cfs_file_read() - the whole content
- * @len: set to the number of bytes
+ * cfs_file_read() - reads a whole file
+ * @len: set to the number of bytes read
  *
- * Return: freed by free(), or NULL when the file is absent or unreadable.
+ * Return: data that the caller frees, or NULL if the file cannot be opened.
  */
 uint8_t *cfs_file_read (const char *folder, const char *file, size_t *len);
 
--- a/src/process/leader.c
+++ b/src/process/leader.c
@@ -155,8 +155,8 @@
   return i ? i->zone : NULL;
 }
 
-/* Assigns every resource that has no holder.  One batch at a time: the next is
-   proposed after the previous one is applied. */
+/* Assigns every resource that no host holds any more.  One batch at a time:
+   the next is proposed after the previous one is applied. */
 static void
 assign_free_resources (struct cfs_leader *l, int64_t now)
 {
--- a/src/process/table.c
+++ b/src/process/table.c
@@ -1,14 +1,14 @@
 /*
- * A sorted array with binary search: tables here are read far more often
- * than they grow, and iteration in the order of names keeps decisions the
- * same on every host.
+ * A sorted array with binary search: the tables are read far more often than
+ * they grow, and iteration in the order of names gives the same decisions on
+ * every host.
  */
 #include "table.h"
 
 #include <stdlib.h>
 #include <string.h>
 
-/* Position of the first entry whose name is not below @name. */
+/* Position of the first entry whose name is not less than @name. */
 static size_t
 lower_bound (const struct cfs_table *t, const char *name)
 {
