--- a/src/process/disk.c
+++ b/src/process/disk.c
@@ -385,7 +385,7 @@
   if (d->log < 0 || d->audit < 0 || !cfs_file_sync_folder (folder))
     {
       set_error (error, folder, LOG_FILE,
-                 "cannot open the log or the audit file");
+                 "cannot open the log or the audit file, or sync the folder");
       cfs_disk_close (d);
       return NULL;
     }
--- a/src/process/wire.pb-c.h
+++ b/src/process/wire.pb-c.h
@@ -60,6 +60,9 @@
 
 /* --- messages --- */
 
+/*
+ * Log entry; kind is an enum cfs_raft_entry_kind.
+ */
 struct  Cfs__RaftEntry
 {
   ProtobufCMessage base;
@@ -73,6 +76,17 @@
     , 0, 0, 0, {0,NULL} }
 
 
+/*
+ * Message between members of the control group; type is an enum raft_msg_type,
+ * from and to are member ids, host is the name of the sender.
+ * index, log_term: entry before the entries of an append; last entry of the
+ * sender's log in a vote request; entry that a snapshot ends with.  In a reply
+ * to an append, index is the last entry known to match the leader's log, or
+ * with reject the entry that does not match.
+ * hint: last index in the log of a follower, from which the leader continues.
+ * round: send time of an append or snapshot, echoed by the reply; in a join
+ * request 1 if a follower has forwarded it.
+ */
 struct  Cfs__RaftMsg
 {
   ProtobufCMessage base;
@@ -96,6 +110,9 @@
     , 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0,NULL, {0,NULL}, (char *)protobuf_c_empty_string }
 
 
+/*
+ * Member of the control group.
+ */
 struct  Cfs__Member
 {
   ProtobufCMessage base;
@@ -120,7 +137,8 @@
 
 
 /*
- * The holder of a lease on one resource: a gate or a limiter.
+ * Holder of the lease on a resource: a gate or a limiter.  boot is the boot id
+ * of the holder; epoch increases with each assignment of the resource.
  */
 struct  Cfs__Assignment
 {
@@ -138,6 +156,9 @@
     , (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, 0, 0, 0, 0 }
 
 
+/*
+ * A term, and the position at which its history branches off.
+ */
 struct  Cfs__Branch
 {
   ProtobufCMessage base;
@@ -149,6 +170,9 @@
     , 0, 0 }
 
 
+/*
+ * Terms of a database group.
+ */
 struct  Cfs__Group
 {
   ProtobufCMessage base;
@@ -166,6 +190,9 @@
     , (char *)protobuf_c_empty_string, 0, (char *)protobuf_c_empty_string, 0,NULL, 0, 0, 0 }
 
 
+/*
+ * Database instance, as announced to hosts.
+ */
 struct  Cfs__Instance
 {
   ProtobufCMessage base;
@@ -186,6 +213,13 @@
     , (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, 0, 0, 0, 0, 0, 0, 0 }
 
 
+/*
+ * Report of a gate to the control leader.
+ * want_term: it requests a new term for a promotion.
+ * promoted_term: term in which it promoted primary, whose history branches off
+ * at start; 0 if none.
+ * used_term: last granted term that a promotion was attempted with.
+ */
 struct  Cfs__GroupReport
 {
   ProtobufCMessage base;
@@ -202,6 +236,9 @@
     , (char *)protobuf_c_empty_string, 0, 0, 0, 0, (char *)protobuf_c_empty_string, 0 }
 
 
+/*
+ * A resource that its holder releases.
+ */
 struct  Cfs__Release
 {
   ProtobufCMessage base;
@@ -213,6 +250,13 @@
     , (char *)protobuf_c_empty_string, 0 }
 
 
+/*
+ * From a host to the control leader.
+ * version, directory, members_hash: what the host has; the reply contains only
+ * what changed since.
+ * suspects: targets that the host cannot reach.
+ * idle_us: time since an operation was last let pass.
+ */
 struct  Cfs__Heartbeat
 {
   ProtobufCMessage base;
@@ -244,7 +288,10 @@
 
 
 /*
- * An instance of a database group that announced itself by heartbeats.
+ * Instance of a database group that announces itself by heartbeats.
+ * born: incarnation, Unix milliseconds of its start.
+ * sequence: number of its last report within the incarnation.
+ * claimed: log index at which it began to claim to be primary.
  */
 struct  Cfs__Target
 {
@@ -268,7 +315,9 @@
 
 
 /*
- * A change of a service's primary, from its opening until it is closed.
+ * Failover of a service: open from its start until its end.  target is the
+ * primary once it has ended; fence is the fencing token, the log index of the
+ * start.
  */
 struct  Cfs__Turn
 {
@@ -285,9 +334,9 @@
 
 
 /*
- * Tokens beyond a host's shares, asked for where operations wait for them.
- * In an answer, asked is the number that the question asked for; known as in
- * TeamShare.
+ * Tokens that a host requests beyond its shares, because operations wait.  In
+ * a reply, count is the number granted, asked the number requested, and known
+ * as in TeamShare.
  */
 struct  Cfs__TeamTokens
 {
@@ -327,6 +376,10 @@
     , 0, 0,NULL }
 
 
+/*
+ * Demand for a team's operations per second at a host, and the share that the
+ * host holds.
+ */
 struct  Cfs__TeamUse
 {
   ProtobufCMessage base;
@@ -340,7 +393,9 @@
 
 
 /*
- * known: what the leader denies is in use.
+ * Share of a team's rate that is leased to a host, in operations per second.
+ * known: the leader knows all shares and tokens in use, so what it denies is
+ * really used up.
  */
 struct  Cfs__TeamShare
 {
@@ -354,6 +409,9 @@
     , (char *)protobuf_c_empty_string, 0, 0 }
 
 
+/*
+ * Accepted change of the configuration; patch is a JSON merge patch.
+ */
 struct  Cfs__Version
 {
   ProtobufCMessage base;
@@ -368,6 +426,14 @@
     , 0, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, 0, (char *)protobuf_c_empty_string }
 
 
+/*
+ * From the control leader to a host.
+ * granted: the lease of the host is renewed.
+ * leader: if the sender is not the leader, the name of the one it knows.
+ * document, versions: the whole configuration, or patches since the version in
+ * the heartbeat.
+ * lease_until_us: filled in by the host that receives the reply.
+ */
 struct  Cfs__HeartbeatReply
 {
   ProtobufCMessage base;
@@ -403,6 +469,9 @@
     , 0, 0, (char *)protobuf_c_empty_string, 0, (char *)protobuf_c_empty_string, 0,NULL, 0,NULL, 0,NULL, 0,NULL, 0, 0, 0,NULL, 0,NULL, 0,NULL, 0,NULL, 0, 0, 0 }
 
 
+/*
+ * Assignments; each takes effect if its epoch follows the current one.
+ */
 struct  Cfs__AssignBatch
 {
   ProtobufCMessage base;
@@ -414,6 +483,9 @@
     , 0,NULL }
 
 
+/*
+ * Grants a term to the gate that holds the lease of this epoch.
+ */
 struct  Cfs__TermGrant
 {
   ProtobufCMessage base;
@@ -426,6 +498,9 @@
     , (char *)protobuf_c_empty_string, 0, 0 }
 
 
+/*
+ * Completed promotion of primary in a term.
+ */
 struct  Cfs__TermDone
 {
   ProtobufCMessage base;
@@ -439,6 +514,10 @@
     , (char *)protobuf_c_empty_string, 0, (char *)protobuf_c_empty_string, 0 }
 
 
+/*
+ * Change of the configuration; rejected if base_version is not the current
+ * version.
+ */
 struct  Cfs__Patch
 {
   ProtobufCMessage base;
@@ -454,7 +533,7 @@
 
 
 /*
- * A whole configuration under a number of the operator's choice.
+ * Whole configuration with a version number that the operator chooses.
  */
 struct  Cfs__Document
 {
@@ -469,7 +548,7 @@
 
 
 /*
- * A host that may hold shares of the teams' rates.
+ * Host that may hold shares of the teams' rates; gone removes its record.
  */
 struct  Cfs__HostRecord
 {
@@ -515,6 +594,9 @@
     , CFS__COMMAND__BODY__NOT_SET, {0} }
 
 
+/*
+ * Result of a patch, for requests that are repeated; status is that of HTTP.
+ */
 struct  Cfs__PatchResult
 {
   ProtobufCMessage base;
@@ -528,6 +610,9 @@
     , (char *)protobuf_c_empty_string, 0, 0, (char *)protobuf_c_empty_string }
 
 
+/*
+ * Serialized state of the control group.
+ */
 struct  Cfs__Snapshot
 {
   ProtobufCMessage base;
@@ -555,7 +640,8 @@
 
 
 /*
- * Operator calls are forwarded to the control leader.
+ * Operator request, forwarded to the control leader; kind is an enum
+ * cfs_operator_kind.
  */
 struct  Cfs__OperatorCall
 {
@@ -586,7 +672,12 @@
 
 
 /*
- * A statement on its way from the entry host to the gate.
+ * Statement, sent by the entry host to the gate; kind is an enum cfs_kind.
+ * max_age_us: maximum age of the data of a read.
+ * budget_us: time left until the deadline.
+ * token_term, token_position: position that a read must include.
+ * weight: weight of the team in fair queueing.
+ * once: must not be sent to a target twice.
  */
 struct  Cfs__Execute
 {
@@ -613,6 +704,9 @@
     , 0, (char *)protobuf_c_empty_string, 0, (char *)protobuf_c_empty_string, 0, (char *)protobuf_c_empty_string, 0,NULL, 0, 0, 0, 0, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, 0, 0 }
 
 
+/*
+ * Parameter of a statement.
+ */
 struct  Cfs__Param
 {
   ProtobufCMessage base;
@@ -624,6 +718,9 @@
     , 0, (char *)protobuf_c_empty_string }
 
 
+/*
+ * Reply of the gate to a statement.
+ */
 struct  Cfs__Answer
 {
   ProtobufCMessage base;
@@ -642,6 +739,9 @@
     , 0, 0, 0, (char *)protobuf_c_empty_string, 0, 0, (char *)protobuf_c_empty_string, 0, (char *)protobuf_c_empty_string }
 
 
+/*
+ * Request of an entry host to a team's limiter for tokens.
+ */
 struct  Cfs__TokenAsk
 {
   ProtobufCMessage base;
@@ -655,6 +755,11 @@
     , 0, (char *)protobuf_c_empty_string, 0, 0 }
 
 
+/*
+ * Reply to a TokenAsk.  moved: the sender does not hold the limiter at the
+ * epoch of the request.  retry_us: time until the last granted token may be
+ * used or, if none is granted, until one can be.
+ */
 struct  Cfs__TokenGrant
 {
   ProtobufCMessage base;
@@ -670,7 +775,7 @@
 
 
 /*
- * A compressed message; size is its number of bytes before.
+ * Compressed Peer message; size is its uncompressed length.
  */
 struct  Cfs__Deflated
 {
@@ -701,6 +806,9 @@
     PROTOBUF_C__FORCE_ENUM_TO_BE_INT_SIZE(CFS__PEER__BODY__CASE)
 } Cfs__Peer__BodyCase;
 
+/*
+ * Envelope of every message between hosts.
+ */
 struct  Cfs__Peer
 {
   ProtobufCMessage base;
