--- a/src/process/wire.pb-c.h
+++ b/src/process/wire.pb-c.h
@@ -640,8 +640,8 @@
 
 
 /*
- * Operator request, forwarded to the control leader; kind is an enum
- * cfs_operator_kind.
+ * Operator request, forwarded to the control leader; the kinds are listed in
+ * control.h.
  */
 struct  Cfs__OperatorCall
 {
@@ -672,7 +672,8 @@
 
 
 /*
- * Statement, sent by the entry host to the gate; kind is an enum cfs_kind.
+ * Statement, sent by the entry host to the gate; the kinds are listed in
+ * request.h.
  * max_age_us: maximum age of the data of a read.
  * budget_us: time left until the deadline.
  * token_term, token_position: position that a read must include.
