--- a/src/process/failover_int.h
+++ b/src/process/failover_int.h
@@ -152,7 +152,7 @@
 /** failover_close_probes() - closes the connections of a failover */
 void failover_close_probes (struct failover_state *state);
 
-/** failover_watch_primary() - asks an instance periodically for its role */
+/** failover_watch_primary() - queries the role of a primary periodically */
 void failover_watch_primary (struct cfs_failover_manager *manager,
                              struct failover_state *state,
                              const struct cfs_target *target, int64_t now);
