--- a/src/version/catalog.c
+++ b/src/version/catalog.c
@@ -1,7 +1,7 @@
 /*
- * Rows are collected in the order of the document and sorted once, so every
- * look-up is a binary search.  Routes and keys keep handles, which are
- * renumbered after the sort.
+ * Entries are collected in the order of the document and sorted once, so that
+ * every lookup is a binary search.  The sort changes indexes; those stored in
+ * routes and API keys are updated after it.
  */
 #include "catalog.h"
 
@@ -29,7 +29,7 @@
   free (c);
 }
 
-/* Rows begin with their name. */
+/* Compares entries, which begin with their name. */
 static int
 by_name (const void *a, const void *b)
 {
@@ -55,15 +55,15 @@
   return !has_duplicates (entries, count, size);
 }
 
-/* The handles of a table after it was sorted, from those before. */
+/* Name and index of an entry before the sort. */
 struct renumber
 {
   char name[CFS_NAME_MAX];
   uint32_t old_index;
 };
 
-/* Sorts a table whose rows begin with a name of CFS_NAME_MAX bytes.
-   Return: the new handle of each old one, freed by the caller. */
+/* Sorts an array whose entries begin with a name of CFS_NAME_MAX bytes.
+   Return: the new index of each old index, freed by the caller. */
 static uint32_t *
 sort_and_renumber (void *entries, size_t count, size_t size, bool *ok)
 {
--- a/src/version/catalog.h
+++ b/src/version/catalog.h
@@ -1,9 +1,9 @@
 /**
- * DOC: One version of the configuration by database name: routes, services
- * and teams with their keys.
+ * DOC: Catalog: one version of the configuration, with routes by database
+ * name, services, and teams with their API keys.
  *
- * Built by an edge from the document that the operator sent; immutable
- * afterwards and owned by one thread.
+ * A document decoder builds it from the operator's document.  Afterwards it
+ * is immutable and belongs to one thread.
  */
 #ifndef CFS_CATALOG_H
 #define CFS_CATALOG_H
@@ -13,11 +13,12 @@
 #define CATALOG_NAME_MAX 128
 
 /**
- * enum cfs_consistency - what a read on a route must see
- * @CONSISTENCY_LATEST: every commit acknowledged before it
- * @CONSISTENCY_BOUNDED: every commit acknowledged longer ago than the
- * greatest age
- * @CONSISTENCY_OWN: the same, and every commit of its own session
+ * enum cfs_consistency - consistency of the reads on a route
+ * @CONSISTENCY_LATEST: a read sees every commit acknowledged before it
+ * @CONSISTENCY_BOUNDED: bounded staleness: a read sees every commit
+ * acknowledged longer ago than the route's maximum age
+ * @CONSISTENCY_OWN: read your writes: the same, and every commit of its own
+ * session
  */
 enum cfs_consistency
 {
@@ -27,15 +28,16 @@
 };
 
 /**
- * struct cfs_route - how statements on one database are served
- * @database: name that callers give
- * @service: database group, as a handle into the services
- * @max_age_us: greatest age of the data that a read may see
- * @timeout_us: bound of one statement
- * @target_latency_us: aim for a whole operation
- * @priority: 0 is the most urgent
- * @max_attempts: tries of a statement that may be repeated
- * @open: whether callers need no key
+ * struct cfs_route - settings for the statements on one database
+ * @database: database name that callers give
+ * @service: database group, as an index into the services
+ * @max_age_us: maximum age of the data that a read may see
+ * @timeout_us: timeout of one statement
+ * @target_latency_us: latency objective of a whole operation
+ * @priority: 0 is the highest
+ * @max_attempts: maximum number of attempts for a statement that may be
+ * retried
+ * @open: callers need no API key
  */
 struct cfs_route
 {
@@ -52,8 +54,9 @@
 
 /**
  * struct cfs_service - a database group
- * @max_connections: bound of each instance, over all hosts
- * @sync_replicas: replicas that have a commit before it is acknowledged
+ * @max_connections: connection limit of each instance, over all hosts
+ * @sync_replicas: number of replicas that must have a commit before it is
+ * acknowledged
  */
 struct cfs_service
 {
@@ -62,7 +65,11 @@
   uint32_t sync_replicas;
 };
 
-/** struct cfs_team_limits - a team with its fleet-wide limits */
+/**
+ * struct cfs_team_limits - a team with its fleet-wide rate limit
+ * @rate: operations per second
+ * @burst: size of the token bucket
+ */
 struct cfs_team_limits
 {
   char name[CFS_NAME_MAX];
@@ -71,14 +78,23 @@
   uint32_t priority;
 };
 
-/** struct cfs_api_key - a caller's key; @team is a handle into the teams */
+/**
+ * struct cfs_api_key - a caller's API key
+ * @team: index into the teams
+ */
 struct cfs_api_key
 {
   char key[CATALOG_NAME_MAX];
   uint32_t team;
 };
 
-/** struct cfs_catalog - a whole version; the arrays are sorted by name */
+/**
+ * struct cfs_catalog - a version of the configuration
+ * @transaction_idle_us: a transaction whose caller is idle for longer is
+ * rolled back
+ *
+ * Each array is sorted by the name or key at the start of its entries.
+ */
 struct cfs_catalog
 {
   uint64_t version;
@@ -97,34 +113,35 @@
   int64_t transaction_idle_us;
 };
 
-/** cfs_catalog_new() - an empty version of that number */
+/** cfs_catalog_new() - empty catalog with that version number */
 struct cfs_catalog *cfs_catalog_new (uint64_t version);
 
-/** cfs_catalog_free() - frees a version, NULL is passed over */
+/** cfs_catalog_free() - frees a catalog; NULL is ignored */
 void cfs_catalog_free (struct cfs_catalog *catalog);
 
 /**
- * cfs_catalog_seal() - sorts what was added and checks it as a whole
- * @catalog: version under construction
+ * cfs_catalog_seal() - sorts and validates a catalog; call it once, after all
+ * entries were added
+ * @catalog: catalog under construction
  *
- * Return: NULL, or a constant text that says what is not allowed: a name
- * that occurs twice, or a key that two teams share.
+ * Return: NULL, or a constant error message: a name occurs twice, or two teams
+ * have the same API key.
  */
 const char *cfs_catalog_seal (struct cfs_catalog *catalog);
 
-/** cfs_catalog_route() - the route of a database, or NULL */
+/** cfs_catalog_route() - the route of a database name, or NULL */
 const struct cfs_route *cfs_catalog_route (const struct cfs_catalog *catalog,
                                            const char *database);
 
-/** cfs_catalog_service() - the service of that name, or NULL */
+/** cfs_catalog_service() - the service with that name, or NULL */
 const struct cfs_service *
 cfs_catalog_service (const struct cfs_catalog *catalog, const char *name);
 
-/** cfs_catalog_team_by_key() - the team that holds a key, or NULL */
+/** cfs_catalog_team_by_key() - the team of an API key, or NULL */
 const struct cfs_team_limits *
 cfs_catalog_team_by_key (const struct cfs_catalog *catalog, const char *key);
 
-/** cfs_catalog_team() - the team of that name, or NULL */
+/** cfs_catalog_team() - the team with that name, or NULL */
 const struct cfs_team_limits *
 cfs_catalog_team (const struct cfs_catalog *catalog, const char *name);
 
--- a/src/version/conf.c
+++ b/src/version/conf.c
@@ -1,8 +1,8 @@
 /*
- * The document is kept as text, so that replicas agree byte for byte; typed
- * tables sorted by name serve look-ups.  Keys are found by their public id
- * with a binary search and then compared by hash in constant time, so the
- * time of a look-up tells nothing about a secret.
+ * The document is replicated as text, so that all replicas hold the same
+ * bytes; lookups use typed arrays sorted by name.  A key is found by its
+ * public id with a binary search, then the hashes of the secrets are compared
+ * in constant time, so that the duration reveals nothing about a secret.
  */
 #include "conf.h"
 
@@ -14,7 +14,8 @@
 
 #define HASH_HEX_CHARS (2 * CFS_HASH_BYTES)
 #define CONF_FILE "configuration"
-/* A grant of tokens lives this long; the burst must exceed rate times it. */
+/* Lifetime of a grant of tokens.  The burst must be at least the rate times
+   this. */
 #define MIN_BURST_SECONDS 0.1
 
 static const struct cfs_field key_fields[]
@@ -56,7 +57,8 @@
   return strcmp (a, b);
 }
 
-/* Every table row starts with its name, so one search serves all. */
+/* All array entries start with their name, so one search function serves all.
+ */
 static const void *
 find_entry (const void *entries, size_t count, size_t size, const char *name)
 {
@@ -98,7 +100,7 @@
     t->weight = (uint32_t)cfs_json_number (item, "weight", 1);
     if (t->burst < t->rate * MIN_BURST_SECONDS)
       return fail (error, "teams", t->name,
-                   "burst is below the rate of 100 ms");
+                   "burst is less than the rate times 100 ms");
   }
   qsort (c->teams, c->team_count, sizeof *c->teams, compare_names);
   return true;
@@ -121,7 +123,8 @@
       struct cfs_key *k;
 
       if (strchr (item->string, '.'))
-        return fail (error, "keys", item->string, "a key id holds no dot");
+        return fail (error, "keys", item->string,
+                     "a key id must not contain a dot");
       cfs_grow (&c->keys, &cap, c->key_count, sizeof *c->keys);
       k = &c->keys[c->key_count++];
       memset (k, 0, sizeof *k);
@@ -137,7 +140,7 @@
   for (size_t i = 1; i < c->key_count; i++)
     if (strcmp (c->keys[i - 1].id, c->keys[i].id) == 0)
       return fail (error, "keys", c->keys[i].id,
-                   "two teams hold a key of this id");
+                   "two teams have a key with this id");
   return true;
 }
 
@@ -162,7 +165,7 @@
                     * CFS_US_PER_MS;
     s->open = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (item, "open"));
     if (!team)
-      return fail (error, "sheets", s->name, "its team does not exist");
+      return fail (error, "sheets", s->name, "team does not exist");
     s->team = (uint32_t)(team - c->teams);
   }
   qsort (c->sheets, c->sheet_count, sizeof *c->sheets, compare_names);
@@ -186,14 +189,16 @@
                                          CFS_GROUP_SIZE_DEFAULT);
     g->ack_primary = strcmp (ack, "primary") == 0;
     if (!g->ack_primary && strcmp (ack, "majority") != 0)
-      return fail (error, "groups", g->name, "ack is primary or majority");
+      return fail (error, "groups", g->name,
+                   "ack must be primary or majority");
   }
   qsort (c->groups, c->group_count, sizeof *c->groups, compare_names);
   return true;
 }
 
-/* RFC 7396: null removes, objects merge, all else replaces.  The depth is
-   bounded by cfs_json_parse(). */
+/* Applies a merge patch (RFC 7396): null removes a member, an object is
+   merged, any other value replaces.  cfs_json_parse() bounds the recursion
+   depth. */
 static void
 merge_patch (cJSON *target, const cJSON *patch)
 {
--- a/src/version/conf.h
+++ b/src/version/conf.h
@@ -1,9 +1,8 @@
 /**
- * DOC: One version of the configuration.
+ * DOC: One version of the configuration document, parsed.
  *
  * Operators change the document by JSON merge patches (RFC 7396) against a
- * numbered version.  A parsed version is immutable and
- * belongs to one thread.
+ * numbered version.  A parsed version is immutable and belongs to one thread.
  */
 #ifndef CFS_CONF_H
 #define CFS_CONF_H
@@ -13,10 +12,15 @@
 #include <glib.h>
 
 #define CFS_HASH_BYTES 32
-/* Instances of a group that the configuration does not name. */
+/* Number of instances in a group if the configuration does not give it. */
 #define CFS_GROUP_SIZE_DEFAULT 3
 
-/** struct cfs_team - a tenant with its fleet-wide limits */
+/**
+ * struct cfs_team - a team with its fleet-wide limits
+ * @rate: requests per second
+ * @burst: size of the token bucket
+ * @weight: weight in fair queuing
+ */
 struct cfs_team
 {
   char name[CFS_NAME_MAX];
@@ -25,7 +29,12 @@
   uint32_t weight;
 };
 
-/** struct cfs_key - an access key; only its hash is known */
+/**
+ * struct cfs_key - an API key of the form ID.SECRET
+ * @id: public part
+ * @hash: hash of the secret, which itself is not stored
+ * @team: index into the teams
+ */
 struct cfs_key
 {
   char id[CFS_NAME_MAX];
@@ -33,7 +42,12 @@
   uint32_t team;
 };
 
-/** struct cfs_sheet - a stored query with a greatest age of its data */
+/**
+ * struct cfs_sheet - a stored query
+ * @team: index of the owning team
+ * @max_age_us: maximum age of the data that it returns
+ * @open: callers need no API key
+ */
 struct cfs_sheet
 {
   char name[CFS_NAME_MAX];
@@ -44,7 +58,12 @@
   bool open;
 };
 
-/** struct cfs_group_conf - settings of a database group */
+/**
+ * struct cfs_group_conf - settings of a database group
+ * @ack_primary: a write is acknowledged once the primary has it, instead of a
+ * majority of the instances
+ * @size: number of instances
+ */
 struct cfs_group_conf
 {
   char name[CFS_NAME_MAX];
@@ -52,7 +71,7 @@
   unsigned size;
 };
 
-/** struct cfs_conf - a parsed version */
+/** struct cfs_conf - a parsed version; its arrays are sorted by name or id */
 struct cfs_conf
 {
   uint64_t version;
@@ -67,36 +86,36 @@
 };
 
 /**
- * cfs_conf_parse() - checks and parses a document
+ * cfs_conf_parse() - validates and parses a document
  * @document: JSON text
- * @version: its number
- * @error: set with file "configuration", path, found and allowed
+ * @version: version number of the document
+ * @error: set on failure, see cfs_schema_check(); the file is "configuration"
  *
  * Return: the version, freed by cfs_conf_free(), or NULL.
  */
 struct cfs_conf *cfs_conf_parse (const char *document, uint64_t version,
                                  GError **error);
 
-/** cfs_conf_free() - frees a version, NULL is passed over */
+/** cfs_conf_free() - frees a version; NULL is ignored */
 void cfs_conf_free (struct cfs_conf *conf);
 
 /**
  * cfs_conf_patch() - applies a merge patch
  * @document: JSON text of the base version
  * @patch: JSON text of the patch
- * @error: set when the patch is malformed or its result is not allowed
+ * @error: set if the patch is malformed or its result is not valid
  *
  * Return: the new document, freed by free(), or NULL.
  */
 char *cfs_conf_patch (const char *document, const char *patch, GError **error);
 
 /**
- * cfs_conf_authenticate() - finds the team of a presented key
+ * cfs_conf_authenticate() - authenticates an API key
  * @conf: version
- * @key: text after "Bearer ", of the form ID.SECRET
+ * @key: the text after "Bearer ", of the form ID.SECRET; may be NULL
  *
- * The secret is compared by hash in constant time.
- * Return: the team, owned by @conf, or NULL.
+ * The hashes of the secrets are compared in constant time.
+ * Return: the team of the key, owned by @conf, or NULL if it is not valid.
  */
 const struct cfs_team *cfs_conf_authenticate (const struct cfs_conf *conf,
                                               const char *key);
@@ -114,8 +133,8 @@
                                              const char *name);
 
 /**
- * cfs_secret_hash() - hash under which a secret is stored
- * @secret: terminated text
+ * cfs_secret_hash() - computes the hash that is stored for a secret
+ * @secret: null-terminated text
  * @hash: CFS_HASH_BYTES bytes, written
  */
 void cfs_secret_hash (const char *secret, unsigned char *hash);
--- a/src/version/schema.c
+++ b/src/version/schema.c
@@ -1,6 +1,6 @@
 /*
- * A recursive walk over the document and its table side by side.  Tables
- * were chosen over code per field so that one place holds every range.
+ * Traverses the document and the table of its fields in parallel.  A table is
+ * used instead of code per field so that all ranges are in one place.
  */
 #include "schema.h"
 
@@ -12,6 +12,7 @@
 #define PATH_MAX_BYTES 256
 #define FOUND_MAX_BYTES 48
 
+/* State of a validation: the current field, and where to report an error. */
 struct validation
 {
   const char *file;
@@ -243,7 +244,9 @@
   return cJSON_IsString (item) ? item->valuestring : fallback;
 }
 
-/* Whether brackets nest at most JSON_DEPTH_MAX levels outside of texts. */
+/* Whether brackets outside of strings are nested at most JSON_DEPTH_MAX
+ * levels.
+ */
 static bool
 depth_allowed (const char *p)
 {
--- a/src/version/schema.h
+++ b/src/version/schema.h
@@ -1,8 +1,9 @@
 /**
- * DOC: Checks JSON documents against tables of named fields.
+ * DOC: Validates JSON documents against tables of fields.
  *
- * Each table row names a field, its type, range and unit.  An error says the
- * file, the path of the field, what was found and what is allowed.
+ * Each table entry describes a field: name, type, range and unit.  An error
+ * message gives the file, the path of the field, what was found and what is
+ * allowed.
  */
 #ifndef CFS_SCHEMA_H
 #define CFS_SCHEMA_H
@@ -13,17 +14,19 @@
 
 /**
  * enum cfs_field_type - type of a field
- * @FIELD_STRING: text of @min to @max bytes
- * @FIELD_NAME: like FIELD_STRING, of letters, digits, '-', '_' and '.'
- * @FIELD_ADDRESS: an IP number
- * @FIELD_HEX: lower-case hexadecimal digits, @min to @max of them
+ * @FIELD_STRING: UTF-8 string of @min to @max bytes
+ * @FIELD_NAME: like FIELD_STRING, but of letters, digits, '-', '_' and '.'
+ * only
+ * @FIELD_ADDRESS: IPv4 or IPv6 address
+ * @FIELD_HEX: string of @min to @max lower-case hexadecimal digits
  * @FIELD_NUMBER: number from @min to @max
- * @FIELD_INTEGER: whole number from @min to @max
+ * @FIELD_INTEGER: integer from @min to @max
  * @FIELD_BOOL: true or false
- * @FIELD_OBJECT: object with the fields of @children
- * @FIELD_MAP: object from names to objects with the fields of @children
- * @FIELD_LIST: list of objects with the fields of @children
- * @FIELD_ANY: checked by the caller
+ * @FIELD_OBJECT: object with the fields @children
+ * @FIELD_MAP: object whose members are objects with the fields @children; its
+ * member names are names in the sense of FIELD_NAME
+ * @FIELD_LIST: array of objects with the fields @children
+ * @FIELD_ANY: not validated here
  */
 enum cfs_field_type
 {
@@ -40,7 +43,12 @@
   FIELD_ANY
 };
 
-/** struct cfs_field - one row; a table ends with a row without a name */
+/**
+ * struct cfs_field - one field; a table ends with an entry without a name
+ * @unit: unit of a number for error messages, or NULL
+ * @required: the field must be present
+ * @children: table of the fields of an object, map or list
+ */
 struct cfs_field
 {
   const char *name;
@@ -52,40 +60,40 @@
   const struct cfs_field *children;
 };
 
-/** CFS_SCHEMA_ERROR - domain of the errors of this module */
+/** CFS_SCHEMA_ERROR - GError domain of this module */
 #define CFS_SCHEMA_ERROR (cfs_schema_error_quark ())
 
-/** cfs_schema_error_quark() - the error domain */
+/** cfs_schema_error_quark() - quark of CFS_SCHEMA_ERROR */
 GQuark cfs_schema_error_quark (void);
 
 /**
- * cfs_schema_check() - checks a parsed document
+ * cfs_schema_check() - validates a parsed document
  * @json: the document
  * @fields: table of the fields of the outermost object
- * @file: name for messages
- * @error: set when the check fails
+ * @file: file name for error messages
+ * @error: set if the document is not valid
  *
- * Return: whether the document is allowed.
+ * Return: whether the document is valid.
  */
 bool cfs_schema_check (const cJSON *json, const struct cfs_field *fields,
                        const char *file, GError **error);
 
 /**
- * cfs_json_parse() - parses text that must be one whole JSON object
- * @text: terminated text
- * @file: name for messages
- * @error: set when the text is no JSON object
+ * cfs_json_parse() - parses text that must be exactly one JSON object
+ * @text: null-terminated text
+ * @file: file name for error messages
+ * @error: set if the text is not a JSON object
  *
- * Nesting deeper than 16 levels is refused.
+ * Nesting deeper than 16 levels is an error.
  * Return: the document, freed by cJSON_Delete(), or NULL.
  */
 cJSON *cfs_json_parse (const char *text, const char *file, GError **error);
 
-/** cfs_json_number() - number of a field, or @fallback when absent */
+/** cfs_json_number() - number in a field, or @fallback if it is absent */
 double cfs_json_number (const cJSON *object, const char *name,
                         double fallback);
 
-/** cfs_json_string() - text of a field, or @fallback when absent */
+/** cfs_json_string() - string in a field, or @fallback if it is absent */
 const char *cfs_json_string (const cJSON *object, const char *name,
                              const char *fallback);
 
