--- a/src/version/schema.c
+++ b/src/version/schema.c
@@ -21,16 +21,16 @@
 };
 
 static const char *const type_names[]
-    = { "a text",
-        "a name (1 to 48 of letters, digits, '-', '_', '.')",
-        "an IP number",
+    = { "a string",
+        "a name (letters, digits, '-', '_', '.')",
+        "an IP address",
         "hexadecimal digits",
         "a number",
-        "a whole number",
+        "an integer",
         "true or false",
         "an object",
         "an object of named objects",
-        "a list of objects",
+        "an array of objects",
         "any value" };
 
 GQuark
@@ -68,9 +68,8 @@
 static bool
 fail (struct validation *w, const char *found, const char *allowed)
 {
-  g_set_error (w->error, CFS_SCHEMA_ERROR, 0,
-               "%s: %s: found %s, allowed is %s", w->file,
-               *w->path ? w->path : "document", found, allowed);
+  g_set_error (w->error, CFS_SCHEMA_ERROR, 0, "%s: %s: found %s, expected %s",
+               w->file, *w->path ? w->path : "document", found, allowed);
   return false;
 }
 
@@ -146,7 +145,8 @@
     g_snprintf (number, sizeof number, "%d", index++);
     len = push_path (w, f->type == FIELD_MAP ? item->string : number);
     if (f->type == FIELD_MAP && !text_allowed (&key, item->string))
-      return fail (w, "this name", type_names[FIELD_NAME]);
+      return fail (w, "an invalid name",
+                   "a name of 1 to 48 letters, digits, '-', '_' or '.'");
     ok = check_object (w, item, f->children);
     if (!ok)
       return false;
@@ -214,7 +214,7 @@
     while (f->name && strcmp (f->name, item->string) != 0)
       f++;
     if (!f->name)
-      return fail (w, "an unknown field", "only the documented fields");
+      return fail (w, "an unknown field", "one of the documented fields");
     if (!check_field (w, item, f))
       return false;
     w->path[len] = '\0';
@@ -280,7 +280,7 @@
     return json;
   cJSON_Delete (json);
   g_set_error (error, CFS_SCHEMA_ERROR, 0,
-               "%s: document: found no JSON object, allowed is one object in "
+               "%s: document: found no JSON object, expected one object in "
                "UTF-8, at most %d levels deep",
                file, JSON_DEPTH_MAX);
   return NULL;
--- a/tests/unit/decoders.c
+++ b/tests/unit/decoders.c
@@ -70,24 +70,23 @@
   (void)state;
   expect_settings ("8101", "8101", NULL);
   expect_settings ("8101", "81010",
-                   "e1.json: http_port: found 81010, allowed is a whole "
-                   "number from 1 to 65535");
+                   "e1.json: http_port: found 81010, expected an integer "
+                   "from 1 to 65535");
   expect_settings ("8101", "\"x\"",
-                   "e1.json: http_port: found \"x\", allowed is a whole "
-                   "number from 1 to 65535");
+                   "e1.json: http_port: found \"x\", expected an integer "
+                   "from 1 to 65535");
   expect_settings ("\"zone\"", "\"zome\"",
-                   "e1.json: zome: found an unknown field, allowed is only "
+                   "e1.json: zome: found an unknown field, expected one of "
                    "the documented fields");
   expect_settings ("\"port\":1}", "\"port\":0}",
-                   "e1.json: control.0.port: found 0, allowed is a whole "
-                   "number from 1 to 65535");
+                   "e1.json: control.0.port: found 0, expected an integer "
+                   "from 1 to 65535");
   expect_settings ("\"127.0.0.1\",\"http", "\"localhost\",\"http",
-                   "e1.json: address: found \"localhost\", allowed is an IP "
-                   "number");
+                   "e1.json: address: found \"localhost\", expected an IP "
+                   "address");
   expect_settings ("\"host\":\"e1\",", "",
-                   "e1.json: host: found nothing, allowed is a name (1 to 48 "
-                   "of letters, digits, '-', '_', '.') of 1 to 48 "
-                   "characters");
+                   "e1.json: host: found nothing, expected a name (letters, "
+                   "digits, '-', '_', '.') of 1 to 48 characters");
 }
 
 static void
