--- a/src/connection/pg.c
+++ b/src/connection/pg.c
@@ -129,7 +129,7 @@
   struct cfs_pg_setup setup;
   struct cfs_gate *gate;
   struct pg_conn conns[WORK_CONNECTIONS + GATE_INSTANCES_MAX];
-  unsigned conn_used;
+  unsigned conns_used;
 };
 
 static void conn_ready (void *ctx, int events);
@@ -345,8 +345,8 @@
 
   reset_conn (c);
   c->inst = inst;
-  if (conn >= pg->conn_used)
-    pg->conn_used = conn + 1;
+  if (conn >= pg->conns_used)
+    pg->conns_used = conn + 1;
   start_connect (c);
 }
 
@@ -421,7 +421,7 @@
 }
 
 static void
-take_position (struct pg_conn *c, const PGresult *res)
+parse_position (struct pg_conn *c, const PGresult *res)
 {
   c->result.term = pg_result_number (res, 0);
   c->result.position = pg_result_number (res, 1);
@@ -432,14 +432,14 @@
 
 /* Upper bound of what a read may have seen, and the term it belongs to. */
 static void
-take_position_after (struct pg_conn *c, const PGresult *res)
+parse_position_after (struct pg_conn *c, const PGresult *res)
 {
   c->result.term = pg_result_number (res, 0);
   c->result.position_max = pg_result_number (res, 1);
 }
 
 static void
-take_stored_result (struct pg_conn *c, const PGresult *res)
+parse_stored_result (struct pg_conn *c, const PGresult *res)
 {
   const struct cfs_sql *sql = c->pg->setup.statement (c->request);
 
@@ -452,7 +452,7 @@
 }
 
 static void
-take_error (struct pg_conn *c, const PGresult *res)
+record_error (struct pg_conn *c, const PGresult *res)
 {
   const char *state = PQresultErrorField (res, PG_DIAG_SQLSTATE);
   const char *text = PQresultErrorField (res, PG_DIAG_MESSAGE_PRIMARY);
@@ -464,7 +464,7 @@
 }
 
 static void
-take_result (struct pg_conn *c, PGresult *res)
+handle_result (struct pg_conn *c, PGresult *res)
 {
   enum step step
       = c->step_at < c->step_count ? c->steps[c->step_at] : STEP_BEGIN;
@@ -474,11 +474,11 @@
     case PGRES_TUPLES_OK:
     case PGRES_COMMAND_OK:
       if (step == STEP_POSITION)
-        take_position (c, res);
+        parse_position (c, res);
       else if (step == STEP_POSITION_AFTER)
-        take_position_after (c, res);
+        parse_position_after (c, res);
       else if (step == STEP_FETCH_RESULT)
-        take_stored_result (c, res);
+        parse_stored_result (c, res);
       else if (step == STEP_STATEMENT)
         {
           free (c->result.body);
@@ -496,7 +496,7 @@
     case PGRES_PIPELINE_ABORTED:
       break;
     default:
-      take_error (c, res);
+      record_error (c, res);
       break;
     }
 }
@@ -647,7 +647,7 @@
       if (PQresultStatus (res) == PGRES_PIPELINE_SYNC)
         ended = true;
       else
-        take_result (c, res);
+        handle_result (c, res);
       PQclear (res);
     }
   if (ended)
@@ -702,7 +702,7 @@
 each_conn (struct cfs_pg *pg, void (*apply) (struct pg_conn *c, int64_t now),
            int64_t now)
 {
-  for (unsigned i = 0; i < pg->conn_used; i++)
+  for (unsigned i = 0; i < pg->conns_used; i++)
     apply (&pg->conns[i], now);
   for (unsigned i = 0; i < GATE_INSTANCES_MAX; i++)
     apply (&pg->conns[WORK_CONNECTIONS + i], now);
--- a/src/connection/session.c
+++ b/src/connection/session.c
@@ -298,7 +298,7 @@
 
 /* COMMIT of a failed transaction, which was rolled back already. */
 static void
-handle_commit_of_failed (struct cfs_session *s)
+handle_commit_after_failure (struct cfs_session *s)
 {
   s->state = TX_IDLE;
   session_reply (s, REPLY_ABORTED, "the transaction was rolled back");
@@ -452,7 +452,7 @@
       break;
     case VERB_COMMIT:
       if (s->state == TX_FAILED)
-        handle_commit_of_failed (s);
+        handle_commit_after_failure (s);
       else
         handle_data_statement (s, now);
       break;
--- a/src/connection/session_int.h
+++ b/src/connection/session_int.h
@@ -184,9 +184,9 @@
 /** session_needs_primary() - whether the statement must run on the primary */
 bool session_needs_primary (const struct cfs_session *session);
 
-/** session_needs_own_tx() - whether the proxy wraps the statement in a
+/** session_wraps_in_tx() - whether the proxy wraps the statement in a
  * transaction, see session_run.c */
-bool session_needs_own_tx (const struct cfs_session *session);
+bool session_wraps_in_tx (const struct cfs_session *session);
 
 /** session_phase_name() - name of a phase in log lines */
 const char *session_phase_name (enum op_phase phase);
--- a/src/connection/session_run.c
+++ b/src/connection/session_run.c
@@ -99,9 +99,9 @@
                              prepared_name);
       statements[0].name = prepared_name;
     }
-  if (s->state == TX_IDLE && !s->op.writes && !session_needs_own_tx (s))
+  if (s->state == TX_IDLE && !s->op.writes && !session_wraps_in_tx (s))
     statements[0].after = s->op.min_position;
-  if (session_needs_own_tx (s))
+  if (session_wraps_in_tx (s))
     {
       memset (&statements[1], 0, sizeof statements[1]);
       statements[1].verb = VERB_ROLLBACK;
--- a/src/connection/session_setup.c
+++ b/src/connection/session_setup.c
@@ -17,7 +17,7 @@
 }
 
 bool
-session_needs_own_tx (const struct cfs_session *s)
+session_wraps_in_tx (const struct cfs_session *s)
 {
   return s->state == TX_IDLE && !s->op.writes
          && s->route.consistency == CONSISTENCY_LATEST;
@@ -106,7 +106,7 @@
 {
   struct cfs_statement begin = { .verb = VERB_BEGIN };
 
-  if (s->tx_on_conn || (s->state != TX_OPEN && !session_needs_own_tx (s)))
+  if (s->tx_on_conn || (s->state != TX_OPEN && !session_wraps_in_tx (s)))
     return;
   if (!session_needs_primary (s))
     {
