--- a/src/request/entry.c
+++ b/src/request/entry.c
@@ -1,8 +1,9 @@
 /*
- * The life of a call after it was checked.  Each time it is sent it gets a
- * new id, so an answer to an earlier sending is never taken for the answer
- * to a later one.  It is sent again only when that is safe: a refusal that
- * says it was not run, a read, or a write whose key the target records.
+ * Processing of a client request after its validation.  Each attempt has a
+ * new message id, so the reply to an earlier attempt is never taken for the
+ * reply to a later one.  A request is sent again only when that is safe: if
+ * the gate refused it without running it, if it is a read, or if it is a
+ * write with an idempotency key, which the target records.
  */
 #include "entry_int.h"
 
@@ -86,7 +87,7 @@
   free (er);
 }
 
-/* Outcome of a job that is given up in its present state. */
+/* Outcome of a request that is abandoned in its current state. */
 static enum cfs_outcome
 outcome_of (const struct entry_request *er)
 {
@@ -228,7 +229,7 @@
   cfs_admit_submit (&e->admit, r, team->rate, team->burst, now);
 }
 
-/* Whether the key that came with a call still opens the same team. */
+/* Whether the API key of a request still authenticates the same team. */
 static bool
 key_still_valid (struct entry_request *er)
 {
@@ -274,7 +275,8 @@
   return cfs_net_send (er->entry->setup.net, gate->address, gate->port, &out);
 }
 
-/* Sends a waiting job to its gate, if there is one that can be reached. */
+/* Sends a waiting request to the gate of its group, if there is a gate and
+   it can be reached. */
 static void
 forward_request (struct entry_request *er, int64_t now)
 {
@@ -287,7 +289,7 @@
   if (!key_still_valid (er))
     {
       entry_finish (er, CFS_CODE_UNAUTHENTICATED, outcome_of (er),
-                    "the key was withdrawn");
+                    "the API key was revoked");
       return;
     }
   if (!gate || now < er->retry_at)
@@ -303,7 +305,7 @@
   apr_hash_set (er->entry->sent_requests, &er->id, sizeof er->id, er);
 }
 
-/* Joins the head of our answer with the gate's JSON object. */
+/* Merges the fields of this response with the JSON object of the gate. */
 static char *
 make_body (const struct entry_request *er, const Cfs__Answer *in)
 {
@@ -342,8 +344,8 @@
   end_request (er);
 }
 
-/* Tells a session that a change it has seen is gone, and lets it go on from
-   the kept history. */
+/* Tells the client that a change which its session has seen was lost, and
+   resets the session to a position in the current history. */
 static void
 respond_write_lost (struct entry_request *er, const Cfs__Answer *in)
 {
@@ -351,8 +353,9 @@
 
   cfs_token_reset (&er->token, er->group, in->term, in->position);
   cfs_token_write (&er->token, er->entry->token_key, session);
-  respond_problem (er->entry, er->http, CFS_CODE_WRITE_LOST, outcome_of (er),
-                   "a change that this session has seen was lost", session);
+  respond_problem (
+      er->entry, er->http, CFS_CODE_WRITE_LOST, outcome_of (er),
+      "a change that this session has seen was lost in a failover", session);
   end_request (er);
 }
 
@@ -391,7 +394,7 @@
                      (int64_t)in->retry_us, now);
 }
 
-/* Whether a call that a gate may have run can be run again without harm. */
+/* Whether a request that a gate may have run can safely be run again. */
 static bool
 may_resend (const struct entry_request *er)
 {
@@ -401,8 +404,9 @@
          && !er->request.send_once;
 }
 
-/* A job whose gate is no longer the holder: send it to the new one, or wait
-   a little for the old one's answer. */
+/* If the gate to which a request was sent has lost its lease, sends the
+   request to the new gate when that is safe, or else waits a short time for
+   the reply of the old one. */
 static void
 follow_gate_lease (struct entry_request *er, int64_t now)
 {
@@ -423,10 +427,12 @@
     er->orphaned_at = now;
   else if (now - er->orphaned_at > ORPHAN_WAIT_US)
     entry_finish (er, CFS_CODE_CONNECTION_LOST, CFS_UNKNOWN,
-                  "the gate was lost");
+                  "the host that ran the request lost its lease and did not "
+                  "reply");
 }
 
-/* Why a job is late: nobody holds the gate of its group, or time ran out. */
+/* Error code of a request that missed its deadline: no host holds the gate
+   of its group, or it took too long. */
 static enum cfs_code
 timeout_code (const struct entry_request *er)
 {
@@ -519,7 +525,8 @@
   g_string_free (out, TRUE);
 }
 
-/* Splits "/v1/a/b" into parts after "v1".  Returns their number. */
+/* Splits "/v1/a/b" into the segments after "v1".  Returns their number, 0
+   for other paths. */
 static size_t
 split_path (char *path, char **parts)
 {
--- a/src/request/entry_int.h
+++ b/src/request/entry_int.h
@@ -1,6 +1,6 @@
 /**
- * DOC: Private parts of the entry, shared by entry.c, entry_statement.c and
- * entry_operator.c.
+ * DOC: Internal declarations of the entry, shared by entry.c,
+ * entry_statement.c and entry_operator.c.
  */
 #ifndef CFS_ENTRY_INT_H
 #define CFS_ENTRY_INT_H
@@ -16,18 +16,20 @@
 #define DEADLINE_DEFAULT_MS 10000
 #define DEADLINE_MAX_MS 60000
 #define MAX_AGE_DEFAULT_MS 5000
-/* An answer of the gate that lost its lease is awaited this long. */
+/* Maximum wait for the reply of a gate that has lost its lease. */
 #define ORPHAN_WAIT_US (500 * CFS_US_PER_MS)
-/* Taken off the deadline that the gate is told, for the way back. */
+/* Subtracted from the deadline passed to the gate, to leave time for the
+   reply to arrive. */
 #define RETURN_MARGIN_US (20 * CFS_US_PER_MS)
-/* Pause before a call goes again to a gate that was not ready for it. */
+/* Delay before a request is sent again after a gate replied that it has
+   moved. */
 #define MOVED_PAUSE_US (15 * CFS_US_PER_MS)
 
 /**
- * enum entry_request_state - where a call is
- * @ENTRY_ADMITTING: waits for tokens
- * @ENTRY_WAITING: waits for a gate
- * @ENTRY_SENT: a gate has it
+ * enum entry_request_state - state of a client request
+ * @ENTRY_ADMITTING: waits for a token of the rate limiter
+ * @ENTRY_WAITING: waits until it can be sent to a gate
+ * @ENTRY_SENT: sent to a gate
  */
 enum entry_request_state
 {
@@ -36,7 +38,17 @@
   ENTRY_SENT
 };
 
-/** struct entry_request - one call of a caller */
+/**
+ * struct entry_request - a client request
+ * @token: session token of the client
+ * @id: id of the last message to a gate, 0 when none is outstanding
+ * @sent_epoch: lease epoch of that gate
+ * @checked_version: version of the configuration with which the API key was
+ * last checked
+ * @orphaned_at: time at which the gate was found to have lost its lease
+ * @retry_at: earliest time at which it is sent again
+ * @bearer: API key, or NULL for an anonymous read of an open sheet
+ */
 struct entry_request
 {
   struct cfs_request request;
@@ -59,7 +71,12 @@
   struct entry_request *next;
 };
 
-/** struct sent_announcement - the last announcement passed to the leader */
+/**
+ * struct sent_announcement - the last announcement of an instance that was
+ * passed to the control leader
+ * @digest: hash of its contents except for the position
+ * @at: time at which it was sent
+ */
 struct sent_announcement
 {
   char name[CFS_NAME_MAX];
@@ -67,13 +84,21 @@
   int64_t at;
 };
 
-/** struct operator_request - an operator's call on its way */
+/** struct operator_request - an operator request without a reply yet */
 struct operator_request
 {
   uint64_t id;
   struct cfs_http_request *http;
 };
 
+/**
+ * struct cfs_entry - state of the entry
+ * @sent_requests: requests in state ENTRY_SENT by message id
+ * @requests: list of all open client requests
+ * @open_count: length of that list
+ * @token_key: key that authenticates session tokens
+ * @response_counts: number of responses by code
+ */
 struct cfs_entry
 {
   struct cfs_entry_setup setup;
@@ -92,34 +117,42 @@
   uint64_t response_counts[CFS_CODE_COUNT];
 };
 
-/** entry_id() - number that no earlier run of this host has used */
+/**
+ * entry_id() - returns a new message id
+ *
+ * Ids start at a random number, so that an earlier run of this host is
+ * unlikely to have used the same ones.
+ */
 uint64_t entry_id (struct cfs_entry *entry);
 
-/** entry_problem() - answers with problem+json */
+/** entry_problem() - responds with an application/problem+json document */
 void entry_problem (struct cfs_entry *entry, struct cfs_http_request *http,
                     enum cfs_code code, enum cfs_outcome outcome,
                     const char *detail);
 
-/** entry_bearer() - the presented key, or NULL */
+/** entry_bearer() - returns the bearer token of a request, or NULL */
 const char *entry_bearer (const struct cfs_http_request *http);
 
-/** statement_handle() - /v1/groups/... and /v1/sheets/... */
+/** statement_handle() - handles /v1/groups/... and /v1/sheets/... */
 void statement_handle (struct cfs_entry *entry, struct cfs_http_request *http,
                        char **parts, size_t count);
 
-/** operator_handle() - /v1/config, /v1/audit, /v1/status, /v1/announce */
+/**
+ * operator_handle() - handles /v1/config, /v1/audit, /v1/status, /v1/drain
+ * and /v1/announce
+ */
 void operator_handle (struct cfs_entry *entry, struct cfs_http_request *http,
                       const char *resource);
 
-/** entry_submit() - takes a checked job into admission */
+/** entry_submit() - submits a validated request to admission */
 void entry_submit (struct cfs_entry *entry, struct entry_request *request,
                    const struct cfs_team *team, int64_t deadline_ms);
 
-/** entry_finish() - answers a job with a refusal and frees it */
+/** entry_finish() - responds to a request with a problem and frees it */
 void entry_finish (struct entry_request *request, enum cfs_code code,
                    enum cfs_outcome outcome, const char *detail);
 
-/** entry_free_request() - frees a job whose call was answered */
+/** entry_free_request() - frees a request that has got its response */
 void entry_free_request (struct entry_request *request);
 
 #endif
--- a/src/request/entry_operator.c
+++ b/src/request/entry_operator.c
@@ -1,7 +1,8 @@
 /*
- * Calls of operators go to the control leader; announcements of targets go
- * to the gate of their group at once and, when something but the position
- * changed or some time has passed, to the control leader.
+ * Requests of operators and announcements of targets.  Operator requests are
+ * forwarded to the control leader.  An announcement is forwarded to the gate
+ * of its group immediately, and to the control leader only if anything other
+ * than the position has changed or the last one sent is too old.
  */
 #include "entry_int.h"
 
@@ -13,6 +14,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Age from which an unchanged announcement is sent to the control leader
+   again. */
 #define ANNOUNCE_REFRESH_US (2 * CFS_US_PER_S)
 #define HTTP_OK 200
 #define HTTP_PRECONDITION_REQUIRED 428
@@ -65,7 +68,7 @@
       = cJSON_IsTrue (cJSON_GetObjectItemCaseSensitive (doc, "leaving"));
 }
 
-/* Hash of all but the position. */
+/* Hash of an announcement except for the position, 0 if it is too long. */
 static uint64_t
 digest_of (const Cfs__Instance *in)
 {
@@ -127,7 +130,7 @@
   if (!key_matches (entry_bearer (http), e->setup.settings->announce_hash))
     {
       entry_problem (e, http, CFS_CODE_UNAUTHENTICATED, CFS_NOT_RUN,
-                     "not the key of targets");
+                     "missing or wrong key of targets");
       return;
     }
   doc = cfs_json_parse (cfs_http_request_body (http), "body", &error);
@@ -144,7 +147,8 @@
   cJSON_Delete (doc);
 }
 
-/* Version of If-Match: "N"; returns false when it is malformed. */
+/* Reads the version N from the header If-Match: "N".  Returns false when the
+   header is missing or malformed. */
 static bool
 read_if_match (const struct cfs_http_request *http, uint64_t *version)
 {
@@ -231,7 +235,7 @@
     }
   if (!key_matches (entry_bearer (http), e->setup.settings->operator_hash))
     entry_problem (e, http, CFS_CODE_UNAUTHENTICATED, CFS_NOT_RUN,
-                   "not the key of operators");
+                   "missing or wrong key of operators");
   else if (strcmp (resource, "config") == 0)
     handle_config_request (e, http);
   else if (strcmp (resource, "drain") == 0)
--- a/src/request/entry_statement.c
+++ b/src/request/entry_statement.c
@@ -1,6 +1,7 @@
 /*
- * Turns a caller's HTTP request into a job: path, key, session, statement.
- * Everything is checked here, before the request costs anything.
+ * Parses and validates HTTP requests of clients: path, API key, session token
+ * and statement.  All checks are made before the request uses tokens or other
+ * resources.
  */
 #include "entry_int.h"
 
@@ -43,7 +44,7 @@
   return er;
 }
 
-/* Answers a job that never entered the list of open ones. */
+/* Responds with a problem to a request that has not been submitted yet. */
 static void
 reject (struct entry_request *er, enum cfs_code code, const char *detail)
 {
@@ -103,8 +104,8 @@
   return true;
 }
 
-/* Reads the body into the job.  Returns the deadline, or 0 after it has
-   rejected the job. */
+/* Parses the body.  Returns the deadline in milliseconds, or 0 when the
+   request was rejected and freed. */
 static int64_t
 read_body (struct entry_request *er, const struct cfs_field *fields)
 {
@@ -119,13 +120,14 @@
   else if (fields == statement_fields)
     {
       if (!cfs_sql_allowed (cfs_json_string (doc, "sql", "")))
-        problem = "body: sql: this kind of statement may not run here";
+        problem = "body: sql: empty, or a type of statement that is not "
+                  "allowed on a pooled connection";
       else if (!read_params (er, doc))
         problem
-            = "body: params: allowed is a list of at most 64 texts, numbers, "
+            = "body: params: must be a list of at most 64 strings, numbers, "
               "booleans and nulls";
       else if (!read_mode (er, doc))
-        problem = "body: mode: allowed is read or write";
+        problem = "body: mode: must be read or write";
       er->sql = cfs_strdup (cfs_json_string (doc, "sql", ""));
       er->request.max_age_us
           = (int64_t)cfs_json_number (doc, "max_age_ms", MAX_AGE_DEFAULT_MS)
@@ -154,7 +156,7 @@
   return true;
 }
 
-/* Reads the headers that say how often a write may run. */
+/* Reads the headers that control whether a write may be sent again. */
 static bool
 read_resend_headers (struct entry_request *er)
 {
@@ -192,26 +194,28 @@
   return true;
 }
 
-/* Takes the job on for a team once session and repeat headers are sound. */
+/* Validates the session and retry headers and submits the request. */
 static void
 accept_request (struct entry_request *er, const struct cfs_team *team,
                 const char *session_team, int64_t deadline_ms)
 {
   if (!read_token (er))
     {
-      reject (er, CFS_CODE_BAD_REQUEST, "the session token is not valid");
+      reject (er, CFS_CODE_BAD_REQUEST, "the session token is invalid");
       return;
     }
   if (*er->token.team && strcmp (er->token.team, session_team) != 0)
     {
-      reject (er, CFS_CODE_FORBIDDEN, "the session is of another team");
+      reject (er, CFS_CODE_FORBIDDEN,
+              "the session token belongs to another team");
       return;
     }
   cfs_copy (er->token.team, sizeof er->token.team, session_team);
   if (!read_resend_headers (er))
     {
       reject (er, CFS_CODE_BAD_REQUEST,
-              "Idempotency-Key or Repeatable is malformed");
+              "Idempotency-Key must be 1 to 127 printable characters without "
+              "spaces, Repeatable must be yes or no");
       return;
     }
   entry_submit (er->entry, er, team, deadline_ms);
@@ -238,7 +242,7 @@
   if (entry_bearer (http) && !team)
     {
       entry_problem (e, http, CFS_CODE_UNAUTHENTICATED, CFS_NOT_RUN,
-                     "the key is not known");
+                     "the API key is unknown");
       return;
     }
   if (!sheet)
@@ -250,9 +254,9 @@
   owner = &conf->teams[sheet->team];
   if (!sheet->open && team != owner)
     {
-      entry_problem (e, http,
-                     team ? CFS_CODE_FORBIDDEN : CFS_CODE_UNAUTHENTICATED,
-                     CFS_NOT_RUN, "the sheet is another team's");
+      entry_problem (
+          e, http, team ? CFS_CODE_FORBIDDEN : CFS_CODE_UNAUTHENTICATED,
+          CFS_NOT_RUN, "the sheet is not open and belongs to another team");
       return;
     }
   er = new_request (e, http, CFS_READ, sheet->group);
@@ -263,7 +267,8 @@
   accept_request (er, owner, team ? team->name : "", DEADLINE_DEFAULT_MS);
 }
 
-/* Kind of a request under /v1/groups/G/..., CFS_KIND_COUNT for none. */
+/* Kind of a request to /v1/groups/G/..., CFS_KIND_COUNT if the path is
+   unknown. */
 static enum cfs_request_kind
 kind_of (char **parts, size_t count)
 {
@@ -293,7 +298,7 @@
   if (!team)
     {
       entry_problem (e, http, CFS_CODE_UNAUTHENTICATED, CFS_NOT_RUN,
-                     "the key is not known");
+                     "the API key is missing or unknown");
       return;
     }
   if (kind == CFS_KIND_COUNT || strlen (parts[0]) >= CFS_NAME_MAX)
@@ -330,7 +335,7 @@
   if (!cfs_directory_has_lease (e->setup.directory, cfs_now ()))
     {
       entry_problem (e, http, CFS_CODE_NO_LEASE, CFS_NOT_RUN,
-                     "this host is cut off from the control group");
+                     "this host has lost contact with the control group");
       return;
     }
   if (sheet)
--- a/src/request/gates.c
+++ b/src/request/gates.c
@@ -1,6 +1,7 @@
 /*
- * One row per group and per team that this host has held.  Rows stay when a
- * lease leaves, so that an answer under way always finds its gate.
+ * Has one entry for each group and each team whose lease this host has ever
+ * held.  Entries are kept when the lease is lost, so that a result that
+ * arrives later still finds its gate.
  */
 #include "gates.h"
 
@@ -18,7 +19,7 @@
 #define DIGEST_BYTES 32
 #define PARAMS_MAX 64
 
-/* A statement at this gate, from an entry host's message to its answer. */
+/* A request of an entry host, from the arrival of its message to the reply. */
 struct gate_request
 {
   struct cfs_request request;
@@ -30,6 +31,8 @@
   struct cfs_sql sql;
 };
 
+/* A gate and its lease.  After a release, released_epoch is reported to the
+   control leader until the gate gets a new lease. */
 struct local_gate
 {
   char name[CFS_NAME_MAX];
@@ -41,6 +44,7 @@
   bool serving;
 };
 
+/* The rate limiter of one team; epoch is 0 without a lease. */
 struct local_limiter
 {
   char name[CFS_NAME_MAX];
@@ -110,8 +114,9 @@
 {
   struct local_gate *local = ctx;
 
-  cfs_log (CFS_NOTICE, PART, "%s: orders %s to lead in term %" PRIu64,
-           local->name, cfs_gate_name (local->gate, inst), term);
+  cfs_log (CFS_NOTICE, PART,
+           "group %s: promoting %s to primary in term %" PRIu64, local->name,
+           cfs_gate_name (local->gate, inst), term);
   cfs_pg_promote (local->pg, inst, term);
 }
 
@@ -246,8 +251,8 @@
   configure_gate (g, local);
   cfs_gate_assign (local->gate, epoch, now);
   cfs_log (CFS_NOTICE, PART,
-           own ? "%s: held in epoch %" PRIu64
-               : "%s: given up before epoch %" PRIu64,
+           own ? "group %s: gate lease acquired in epoch %" PRIu64
+               : "group %s: gate lease lost, its epoch is now %" PRIu64,
            name, lease->epoch);
 }
 
@@ -306,6 +311,8 @@
     }
 }
 
+/* Computes the digest of text and parameters, by which the target detects
+   that an idempotency key is reused for another statement. */
 static void
 make_digest (struct gate_request *gr, const Cfs__Execute *in)
 {
@@ -437,8 +444,8 @@
   if (serving == local->serving)
     return;
   local->serving = serving;
-  cfs_log (CFS_NOTICE, PART, "%s: %s", local->name,
-           serving ? "writes are served" : "writes are held back");
+  cfs_log (CFS_NOTICE, PART, "group %s: %s", local->name,
+           serving ? "accepting writes" : "not accepting writes");
 }
 
 void
@@ -498,7 +505,7 @@
       local->released = true;
       local->released_epoch = epoch;
       cfs_gate_assign (local->gate, 0, now);
-      cfs_log (CFS_NOTICE, PART, "%s: released", local->name);
+      cfs_log (CFS_NOTICE, PART, "group %s: gate lease released", local->name);
     }
   if (local->released)
     add_release (g, GATE_PREFIX, local->name, local->released_epoch, out);
--- a/src/request/gates.h
+++ b/src/request/gates.h
@@ -1,9 +1,9 @@
 /**
- * DOC: The gates and limiters that this host holds.
+ * DOC: The gates and rate limiters that run on this host.
  *
- * Follows the directory: makes a gate when its lease comes to this host and
- * gives it up when it leaves; the same for limiters.  Belongs to the
- * traffic thread.
+ * Creates a gate when the directory shows that this host has obtained its
+ * lease, and stops the gate when the lease has moved; likewise for rate
+ * limiters.  Belongs to the traffic thread.
  */
 #ifndef CFS_GATES_H
 #define CFS_GATES_H
@@ -24,47 +24,46 @@
 
 struct cfs_gates;
 
-/** cfs_gates_new() - holds nothing yet; freed by cfs_gates_free() */
+/** cfs_gates_new() - without any leases, to be freed with cfs_gates_free() */
 struct cfs_gates *cfs_gates_new (const struct cfs_gates_setup *setup);
 
-/** cfs_gates_free() - gives everything up */
+/** cfs_gates_free() - stops and frees all gates and rate limiters */
 void cfs_gates_free (struct cfs_gates *gates);
 
-/** cfs_gates_directory_changed() - acts on a changed directory */
+/** cfs_gates_directory_changed() - applies leases, groups and instances */
 void cfs_gates_directory_changed (struct cfs_gates *gates,
                                   const Cfs__HeartbeatReply *reply,
                                   int64_t now);
 
-/** cfs_gates_execute() - a statement from an entry host */
+/** cfs_gates_execute() - handles a request from an entry host */
 void cfs_gates_execute (struct cfs_gates *gates, const struct cfs_origin *from,
                         const Cfs__Execute *in, int64_t now);
 
-/** cfs_gates_grant_tokens() - an entry host asks for tokens */
+/** cfs_gates_grant_tokens() - handles a token request from an entry host */
 void cfs_gates_grant_tokens (struct cfs_gates *gates,
                              const struct cfs_origin *from,
                              const Cfs__TokenAsk *in, int64_t now);
 
-/** cfs_gates_announce() - an instance announced itself */
+/** cfs_gates_announce() - handles the announcement of an instance */
 void cfs_gates_announce (struct cfs_gates *gates, const Cfs__Instance *in,
                          int64_t now);
 
-/** cfs_gates_tick() - timers; at least every 10 ms */
+/** cfs_gates_tick() - runs timers, to be called at least every 10 ms */
 void cfs_gates_tick (struct cfs_gates *gates, int64_t now);
 
 /**
- * cfs_gates_report() - what the next heartbeats must say
+ * cfs_gates_report() - adds group reports and released leases to a heartbeat
  * @gates: gates
- * @drain: whether to give everything up
- * @out: message whose lists are filled; valid until the next call
+ * @drain: drain all gates and release their leases
+ * @out: message to which lists are added that stay valid until the next call
  */
 void cfs_gates_report (struct cfs_gates *gates, bool drain,
                        Cfs__Heartbeat *out, int64_t now);
 
-/** cfs_gates_held_count() - number of gates and limiters held and not released
- */
+/** cfs_gates_held_count() - number of gates whose lease is held */
 size_t cfs_gates_held_count (const struct cfs_gates *gates);
 
-/** cfs_gates_metrics() - appends counters in Prometheus text form */
+/** cfs_gates_metrics() - appends metrics in the Prometheus text format */
 void cfs_gates_metrics (const struct cfs_gates *gates, GString *out,
                         int64_t now);
 
--- a/src/request/sql.c
+++ b/src/request/sql.c
@@ -1,6 +1,6 @@
 /*
- * Only the first word counts: the extended query protocol takes one
- * statement at a time.
+ * Only the first keyword is checked, because the extended query protocol
+ * accepts only one statement at a time.
  */
 #include "sql.h"
 
@@ -17,7 +17,8 @@
         "release", "reset",    "rollback",   "savepoint", "set",
         "start",   "unlisten", "vacuum",     NULL };
 
-/* Skips white space and comments; nested comments are refused by the NULL. */
+/* Skips white space, semicolons and comments.  Returns NULL for comments that
+   are nested or not terminated. */
 static const char *
 skip_blank (const char *p)
 {
--- a/src/request/sql.h
+++ b/src/request/sql.h
@@ -1,5 +1,5 @@
 /**
- * DOC: Checks on the text of a statement, without parsing it.
+ * DOC: Check of a statement's type, without parsing the statement.
  */
 #ifndef CFS_SQL_H
 #define CFS_SQL_H
@@ -8,11 +8,11 @@
 
 /**
  * cfs_sql_allowed() - whether a statement may run on a pooled connection
- * @sql: terminated text
+ * @sql: null-terminated text
  *
- * Statements that open or end a transaction or change the session are
- * refused: they would leave the connection in a state that the next team
- * must not meet.
+ * Statements that open or end a transaction or change the session state are
+ * refused, because the next team that uses the connection must not be
+ * affected by that state.
  */
 bool cfs_sql_allowed (const char *sql);
 
