--- a/src/request/gate.c
+++ b/src/request/gate.c
@@ -415,8 +415,8 @@
   return true;
 }
 
-/* Replies to all queued requests that the gate has moved, so that their
-   entry hosts send them to the new gate. */
+/* Replies to all queued requests that the gate has moved.  Their entry hosts
+   send those that have not been run to the new gate. */
 static void
 redirect_queued (struct cfs_gate *g)
 {
--- a/src/request/gates.c
+++ b/src/request/gates.c
@@ -1,7 +1,7 @@
 /*
- * Has one entry for each group and each team whose lease this host has ever
- * held.  Entries are kept when the lease is lost, so that a result that
- * arrives later still finds its gate.
+ * There is one entry for each group and each team whose lease this host has
+ * ever held.  Entries are not removed when the lease is lost, so that a result
+ * that arrives later still finds its gate.
  */
 #include "gates.h"
 
@@ -54,6 +54,8 @@
   uint64_t granted;
 };
 
+/* The gates by group, the rate limiters by team, and the buffers for the
+   lists of a heartbeat, each with report_cap entries. */
 struct cfs_gates
 {
   struct cfs_gates_setup setup;
