--- a/src/process/disk.c
+++ b/src/process/disk.c
@@ -20,8 +20,8 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
-#define RECORD_HEAD 32
-#define RECORD_MAX (64u << 20)
+#define RECORD_HEADER_BYTES 32
+#define RECORD_DATA_MAX (64u << 20)
 #define VOTE_FILE "vote"
 #define LOG_FILE "log"
 #define SNAPSHOT_FILE "snapshot"
@@ -100,10 +100,10 @@
   put32 (out + 24, e->kind);
   put32 (out + 28, 0);
   if (e->len)
-    memcpy (out + RECORD_HEAD, e->data, e->len);
-  put32 (out + 4,
-         (uint32_t)cfs_hash (out + 8, RECORD_HEAD - 8 + e->len, e->len + 1));
-  return RECORD_HEAD + e->len;
+    memcpy (out + RECORD_HEADER_BYTES, e->data, e->len);
+  put32 (out + 4, (uint32_t)cfs_hash (
+                      out + 8, RECORD_HEADER_BYTES - 8 + e->len, e->len + 1));
+  return RECORD_HEADER_BYTES + e->len;
 }
 
 /* Size of the record at @p, or 0 if it is incomplete or its checksum is
@@ -113,15 +113,15 @@
 {
   uint32_t len;
 
-  if (left < RECORD_HEAD)
+  if (left < RECORD_HEADER_BYTES)
     return 0;
   len = get32 (p);
-  if (len > RECORD_MAX || left < RECORD_HEAD + (size_t)len)
+  if (len > RECORD_DATA_MAX || left < RECORD_HEADER_BYTES + (size_t)len)
     return 0;
   if (get32 (p + 4)
-      != (uint32_t)cfs_hash (p + 8, RECORD_HEAD - 8 + len, len + 1))
+      != (uint32_t)cfs_hash (p + 8, RECORD_HEADER_BYTES - 8 + len, len + 1))
     return 0;
-  return RECORD_HEAD + (size_t)len;
+  return RECORD_HEADER_BYTES + (size_t)len;
 }
 
 /* Whether any valid record starts after an invalid one: then the log is
@@ -129,7 +129,7 @@
 static bool
 valid_record_follows (const uint8_t *p, size_t left)
 {
-  for (size_t i = 1; i + RECORD_HEAD <= left; i++)
+  for (size_t i = 1; i + RECORD_HEADER_BYTES <= left; i++)
     if (valid_record_size (p + i, left - i))
       return true;
   return false;
@@ -158,7 +158,7 @@
   e->kind = get32 (p + 24);
   e->data = cfs_alloc (e->len);
   if (e->len)
-    memcpy (e->data, p + RECORD_HEAD, e->len);
+    memcpy (e->data, p + RECORD_HEADER_BYTES, e->len);
 }
 
 /* Reads the entries after the snapshot.  Loop invariant: all records before
@@ -240,7 +240,7 @@
   e.len = (uint32_t)cfs__raft_msg__get_packed_size (&m);
   e.data = cfs_alloc (e.len);
   cfs__raft_msg__pack (&m, e.data);
-  *out = cfs_alloc (RECORD_HEAD + e.len);
+  *out = cfs_alloc (RECORD_HEADER_BYTES + e.len);
   len = encode_record (&e, *out);
   free (e.data);
   return len;
@@ -279,7 +279,8 @@
   if (!data)
     return true;
   if (valid_record_size (data, len) == len)
-    m = cfs__raft_msg__unpack (NULL, len - RECORD_HEAD, data + RECORD_HEAD);
+    m = cfs__raft_msg__unpack (NULL, len - RECORD_HEADER_BYTES,
+                               data + RECORD_HEADER_BYTES);
   free (data);
   if (!m)
     return set_error (error, d->folder, SNAPSHOT_FILE,
@@ -427,7 +428,7 @@
   bool ok;
 
   for (size_t i = 0; i < count; i++)
-    total += RECORD_HEAD + entries[i].len;
+    total += RECORD_HEADER_BYTES + entries[i].len;
   data = cfs_alloc (total);
   for (size_t i = 0; i < count; i++)
     used += encode_record (&entries[i], data + used);
@@ -442,7 +443,7 @@
   for (size_t i = 0; i < count; i++)
     {
       add_offset (d, entries[i].index, d->end);
-      d->end += (off_t)(RECORD_HEAD + entries[i].len);
+      d->end += (off_t)(RECORD_HEADER_BYTES + entries[i].len);
     }
   return CFS_OK;
 }
--- a/src/process/leader.c
+++ b/src/process/leader.c
@@ -334,7 +334,7 @@
 }
 
 static void
-evict_silent (struct cfs_leader *l, int64_t now)
+evict_expired (struct cfs_leader *l, int64_t now)
 {
   for (size_t i = l->hosts.count; i > 0; i--)
     {
@@ -510,7 +510,7 @@
   if (!ready)
     return;
   reload_conf (l);
-  evict_silent (l, now);
+  evict_expired (l, now);
   expire_share_holders (l, now);
   if (all_shares_reported (l, &idle_since))
     cfs_shares_end_grace (&l->shares, idle_since, now);
