--- a/src/process/disk.c
+++ b/src/process/disk.c
@@ -192,8 +192,7 @@
           if (index != initial->snapshot.index + initial->count + 1)
             {
               ok = set_error (error, d->folder, LOG_FILE,
-                              "entries are missing between two records; "
-                              "replace this disk");
+                              "log entries are missing; replace this disk");
               break;
             }
           add_entry (initial, &cap, data + offset);
--- a/src/process/leader.h
+++ b/src/process/leader.h
@@ -183,8 +183,8 @@
                                  const struct cfs_document_decoder *decoder,
                                  int64_t lease_us);
 
-/** cfs_leader_set_members() - sets the control group's members that replies
- * to hosts list */
+/** cfs_leader_set_members() - sets the members of the control group, which
+ * hosts learn from replies */
 void cfs_leader_set_members (struct cfs_leader *leader,
                              const struct cfs_raft_membership *members);
 
--- a/src/process/raft.h
+++ b/src/process/raft.h
@@ -22,19 +22,18 @@
 #define RAFT_ELECTION_US (500 * CFS_US_PER_MS)
 /* Minimum time between two pre-vote rounds of a candidate. */
 #define RAFT_RETRY_US (150 * CFS_US_PER_MS)
-/* Maximum rate difference between two monotonic clocks, in percent. */
+/* Difference in rate allowed for between two monotonic clocks, in percent. */
 #define RAFT_DRIFT_PERCENT 2
 /* Number of applied entries at which a snapshot replaces them. */
 #define RAFT_SNAPSHOT_ENTRIES 512
 /* Their size in bytes at which a snapshot replaces them: an entry may hold a
    whole configuration document, so a few entries can be large. */
 #define RAFT_SNAPSHOT_BYTES (4u << 20)
-/* A voter that has not acknowledged an append for this long may be replaced.
- */
+/* A voter that has not answered an append for this long may be replaced. */
 #define RAFT_VOTER_SILENT_US (2 * CFS_US_PER_S)
-/* A learner that has not acknowledged an append for this long is removed; it
-   may join again.  Also how long a group has too many voters before one that
-   works is removed. */
+/* A learner that has not answered an append for this long is removed; it may
+   join again.  Also the time for which a group has too many voters before one
+   that works is removed. */
 #define RAFT_LEARNER_SILENT_US (5 * CFS_US_PER_S)
 /* Desired number of voters if the group manages them: of a group with fewer
    than RAFT_LARGE_GROUP live members, and of a larger one. */
@@ -82,14 +81,14 @@
 
 #define RAFT_MEMBERS_MAX 16
 
-/** struct cfs_raft_membership - the members of the group */
+/** struct cfs_raft_membership - members of the group */
 struct cfs_raft_membership
 {
   struct cfs_raft_member at[RAFT_MEMBERS_MAX];
   size_t count;
 };
 
-/** struct cfs_raft_snapshot - serialized state after entry @index */
+/** struct cfs_raft_snapshot - serialized state machine after entry @index */
 struct cfs_raft_snapshot
 {
   uint64_t index;
@@ -138,7 +137,7 @@
 };
 
 /**
- * struct cfs_raft_initial_state - durable state and options at the start
+ * struct cfs_raft_initial_state - durable state and options for a new instance
  * @manages_voters: the leader keeps the number of voters at
  * RAFT_VOTERS_SMALL_GROUP or RAFT_VOTERS_LARGE_GROUP and replaces unreachable
  * voters by learners that have caught up; if false, every learner that has
--- a/src/process/raft_int.h
+++ b/src/process/raft_int.h
@@ -122,11 +122,11 @@
 /** raft_set_term() - stores term and vote durably, then takes them over */
 int raft_set_term (struct cfs_raft *raft, uint64_t term, uint64_t vote);
 
-/** raft_become_follower() - of @leader, or of none if it is 0 */
+/** raft_become_follower() - follows @leader, or no leader yet if it is 0 */
 void raft_become_follower (struct cfs_raft *raft, uint64_t leader,
                            int64_t now);
 
-/** raft_become_leader() - after a won election */
+/** raft_become_leader() - takes over leadership after a won election */
 void raft_become_leader (struct cfs_raft *raft, int64_t now);
 
 /** raft_election_delay() - random election timeout */
@@ -151,7 +151,7 @@
 void raft_init_msg (const struct cfs_raft *raft, Cfs__RaftMsg *msg,
                     enum raft_msg_type type, uint64_t to);
 
-/** raft_send_to() - sends to the member msg->to; does nothing if it is none */
+/** raft_send_to() - sends to member msg->to, if there is one with this id */
 void raft_send_to (const struct cfs_raft *raft, const Cfs__RaftMsg *msg);
 
 /** raft_drop_entries() - frees the entries in memory from an index on */
