--- a/src/connection/http.c
+++ b/src/connection/http.c
@@ -44,6 +44,14 @@
   unsigned status;
 };
 
+/**
+ * struct cfs_http - see http.h
+ * @watch: handle of the event loop for the epoll descriptor
+ * @open_requests: requests not completed, including aborted ones that have no
+ * response yet
+ * @quiesced: no new connections are accepted, and responses ask the client to
+ * close
+ */
 struct cfs_http
 {
   struct cfs_http_setup setup;
--- a/src/connection/session_int.h
+++ b/src/connection/session_int.h
@@ -154,7 +154,7 @@
   struct session_stats stats;
 };
 
-/* Bound of the setup statements sent on a connection at once. */
+/* The setup of a connection must take fewer statements than this. */
 #define SETUP_MAX 64
 /* Size of the name of a statement prepared on a pooled connection. */
 #define PREPARED_NAME_BYTES 24
@@ -230,7 +230,8 @@
                                  bool awaiting_token);
 
 /**
- * session_authorize() - checks the API key against the route
+ * session_authorize() - checks the lease of this host, the route and the API
+ * key by the configuration in force
  * @code: set to REPLY_OK or to the reason for the refusal
  *
  * Updates the session's route, service and team.
--- a/src/connection/session_run.c
+++ b/src/connection/session_run.c
@@ -40,8 +40,8 @@
   session_reply (s, REPLY_ABORTED, text);
 }
 
-/* Rejects a statement that has not been sent to an instance and so has
-   certainly not run. */
+/* Rejects a statement that no instance is executing: it has certainly not
+   taken effect. */
 static void
 reject_not_run (struct cfs_session *s, int64_t now)
 {
