--- a/tests/soak/callers.c
+++ b/tests/soak/callers.c
@@ -15,21 +15,21 @@
 #include <unistd.h>
 
 #define WRITES_MAX 20000
-#define ANSWER_MS 6000
-#define MAX_AGE_MS 2000
-#define PAUSE_MS 120
-#define WINDOW_MS 5000
-#define PRESSED_RATE 10.0
-#define PRESSED_BURST 10.0
-#define PASSED_MAX 65536
-
-enum kind
+#define REPLY_TIMEOUT_MS 6000
+#define MAX_STALENESS_MS 2000
+#define THINK_TIME_MAX_MS 120
+#define RATE_WINDOW_MS 5000
+#define LIMITED_RATE 10.0
+#define LIMITED_BURST 10.0
+#define ADMITTED_MAX 65536
+
+enum caller_kind
 {
-  KIND_LATEST,
-  KIND_OWN,
+  KIND_PRIMARY,
+  KIND_READ_YOUR_WRITES,
   KIND_TRANSACTION,
-  KIND_GUEST,
-  KIND_PRESSED
+  KIND_REVOCABLE_KEY,
+  KIND_RATE_LIMITED
 };
 
 enum stage
@@ -41,11 +41,11 @@
 };
 
 /* What is known of a write. */
-enum fate
+enum outcome
 {
-  UNKNOWN,
+  OUTCOME_UNKNOWN,
   ACKED,
-  NOT_KEPT
+  NOT_COMMITTED
 };
 
 enum step
@@ -61,49 +61,49 @@
 struct caller
 {
   unsigned index;
-  enum kind kind;
+  enum caller_kind kind;
   enum stage stage;
   enum step step;
   int fd;
-  int64_t at;
-  unsigned ids;
-  unsigned writes;
-  unsigned session_acked;
-  unsigned acked;
-  unsigned of;
-  unsigned floor;
-  unsigned row;
-  bool row_foreign;
-  char code[32];
-  char in[TEXT * 4];
-  size_t len;
-  unsigned char fate[WRITES_MAX];
-  unsigned char found[WRITES_MAX];
+  int64_t due_at;
+  unsigned statement_count;
+  unsigned write_count;
+  unsigned session_last_acked;
+  unsigned last_acked;
+  unsigned item;
+  unsigned min_value;
+  unsigned row_value;
+  bool row_of_other_item;
+  char error_code[32];
+  char input[LINE_BYTES * 4];
+  size_t input_len;
+  unsigned char outcome[WRITES_MAX];
+  unsigned char commit_count[WRITES_MAX];
   int64_t acked_at[WRITES_MAX];
 };
 
 static struct caller callers[CALLERS];
-static int64_t passed[PASSED_MAX];
-static size_t passed_count;
-static unsigned served;
+static int64_t admitted_at[ADMITTED_MAX];
+static size_t admitted_count;
+static unsigned served_count;
 
 static void
-close_caller (struct caller *c, int64_t pause)
+close_caller (struct caller *c, int64_t reconnect_ms)
 {
   if (c->fd >= 0)
     close (c->fd);
   c->fd = -1;
   c->stage = CLOSED;
-  c->len = 0;
-  c->session_acked = 0;
-  c->at = now_ms () + pause;
+  c->input_len = 0;
+  c->session_last_acked = 0;
+  c->due_at = now_ms () + reconnect_ms;
 }
 
 static void
-say (struct caller *c, const char *text)
+send_text (struct caller *c, const char *text)
 {
   if (send (c->fd, text, strlen (text), MSG_NOSIGNAL) < 0)
-    c->at = now_ms ();
+    c->due_at = now_ms ();
 }
 
 static void
@@ -115,7 +115,7 @@
 
   c->fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
   to.sin_port = htons (PORT_SESSION);
-  inet_pton (AF_INET, address_of (ADDRESS_CALLERS + c->index % FRONTS),
+  inet_pton (AF_INET, loopback_address (ADDRESS_CALLERS + c->index % FRONTS),
              &to.sin_addr);
   if (connect (c->fd, (struct sockaddr *)&to, sizeof to) != 0)
     {
@@ -123,90 +123,90 @@
       return;
     }
   snprintf (text, sizeof text, "STARTUP %s %s\r\n",
-            c->kind == KIND_LATEST || c->kind == KIND_TRANSACTION ? "orders"
-                                                                  : "board",
+            c->kind == KIND_PRIMARY || c->kind == KIND_TRANSACTION ? "orders"
+                                                                   : "board",
             keys[c->kind]);
   c->stage = STARTING;
-  c->at = now_ms () + ANSWER_MS;
-  say (c, text);
+  c->due_at = now_ms () + REPLY_TIMEOUT_MS;
+  send_text (c, text);
 }
 
 /* The least number that a read which is sent now must show. */
 static unsigned
-floor_of (const struct caller *c, const struct caller *of)
+min_expected_value (const struct caller *c, const struct caller *writer)
 {
-  int64_t since = now_ms () - MAX_AGE_MS;
-  unsigned n = of->acked;
+  int64_t since = now_ms () - MAX_STALENESS_MS;
+  unsigned n = writer->last_acked;
 
-  if (c->kind == KIND_LATEST || c->kind == KIND_TRANSACTION)
+  if (c->kind == KIND_PRIMARY || c->kind == KIND_TRANSACTION)
     return n;
-  while (n > 0 && (of->fate[n] != ACKED || of->acked_at[n] > since))
+  while (n > 0 && (writer->outcome[n] != ACKED || writer->acked_at[n] > since))
     n--;
-  if (c == of && c->session_acked > n)
-    n = c->session_acked;
+  if (c == writer && c->session_last_acked > n)
+    n = c->session_last_acked;
   return n;
 }
 
 static void
-ask (struct caller *c, enum step step, const char *text)
+send_query (struct caller *c, enum step step, const char *text)
 {
-  char line[TEXT];
+  char line[LINE_BYTES];
 
   c->step = step;
   c->stage = WAITING;
-  c->at = now_ms () + ANSWER_MS;
-  c->row = 0;
-  c->row_foreign = false;
-  *c->code = '\0';
-  snprintf (line, sizeof line, "QUERY c%u-%u %s\r\n", c->index, ++c->ids,
-            text);
-  say (c, line);
+  c->due_at = now_ms () + REPLY_TIMEOUT_MS;
+  c->row_value = 0;
+  c->row_of_other_item = false;
+  *c->error_code = '\0';
+  snprintf (line, sizeof line, "QUERY c%u-%u %s\r\n", c->index,
+            ++c->statement_count, text);
+  send_text (c, line);
 }
 
 static void
-ask_read (struct caller *c, enum step step)
+send_read (struct caller *c, enum step step)
 {
   char text[64];
 
   if (step == STEP_READ)
     {
-      c->of = draw (2) ? c->index : draw (CALLERS);
-      c->floor = floor_of (c, &callers[c->of]);
+      c->item = random_below (2) ? c->index : random_below (CALLERS);
+      c->min_value = min_expected_value (c, &callers[c->item]);
     }
-  snprintf (text, sizeof text, "READ i%u", c->of);
-  ask (c, step, text);
+  snprintf (text, sizeof text, "READ i%u", c->item);
+  send_query (c, step, text);
 }
 
 static void
-ask_write (struct caller *c, enum step step)
+send_write (struct caller *c, enum step step)
 {
   char text[64];
 
-  if (c->writes + 1 >= WRITES_MAX)
+  if (c->write_count + 1 >= WRITES_MAX)
     return;
-  c->writes++;
+  c->write_count++;
   snprintf (text, sizeof text, "WRITE i%u %u-%u", c->index, c->index,
-            c->writes);
-  ask (c, step, text);
+            c->write_count);
+  send_query (c, step, text);
 }
 
 static void
-begin_op (struct caller *c)
+start_operation (struct caller *c)
 {
   if (c->kind == KIND_TRANSACTION)
     {
-      c->of = c->index;
-      c->floor = floor_of (c, c);
-      ask (c, STEP_BEGIN, "BEGIN");
+      c->item = c->index;
+      c->min_value = min_expected_value (c, c);
+      send_query (c, STEP_BEGIN, "BEGIN");
     }
-  else if (draw (2))
-    ask_write (c, STEP_WRITE);
+  else if (random_below (2))
+    send_write (c, STEP_WRITE);
   else
-    ask_read (c, STEP_READ);
+    send_read (c, STEP_READ);
 }
 
 static bool
-is_promise (const char *code)
+is_definite_error (const char *code)
 {
   static const char *const codes[]
       = { "BUSY", "ABORTED", "LAGGING", "READONLY", "MISROUTED", "CONNLIMIT" };
@@ -218,81 +218,81 @@
 }
 
 static void
-note_fate (struct caller *c, bool ok)
+record_outcome (struct caller *c, bool ok)
 {
-  unsigned n = c->writes;
+  unsigned n = c->write_count;
 
   if (ok)
     {
-      c->fate[n] = ACKED;
+      c->outcome[n] = ACKED;
       c->acked_at[n] = now_ms ();
-      c->acked = c->session_acked = n;
+      c->last_acked = c->session_last_acked = n;
     }
-  else if (c->step == STEP_INNER_WRITE || is_promise (c->code))
-    c->fate[n] = NOT_KEPT;
+  else if (c->step == STEP_INNER_WRITE || is_definite_error (c->error_code))
+    c->outcome[n] = NOT_COMMITTED;
 }
 
 static void
 check_row (struct caller *c)
 {
-  if (c->row_foreign)
-    fault_found ("caller %u got a row of another item", c->index);
-  if (c->row < c->floor)
-    fault_found ("caller %u read %u of item %u, %u was acknowledged", c->index,
-                 c->row, c->of, c->floor);
+  if (c->row_of_other_item)
+    report_violation ("caller %u got a row of another item", c->index);
+  if (c->row_value < c->min_value)
+    report_violation ("caller %u read %u of item %u, %u was acknowledged",
+                      c->index, c->row_value, c->item, c->min_value);
 }
 
 static void
-note_success (struct caller *c, int64_t asked_at)
+record_success (struct caller *c, int64_t sent_at)
 {
-  int64_t since = operator_withdrawn ();
-
-  served++;
-  if (c->kind == KIND_GUEST && since && asked_at - since > REVOKE_MS)
-    fault_found ("a withdrawn key was served %d ms after the answer",
-                 (int)(asked_at - since));
-  if (c->kind == KIND_PRESSED && passed_count < PASSED_MAX)
-    passed[passed_count++] = now_ms ();
+  int64_t since = operator_key_revoked_at ();
+
+  served_count++;
+  if (c->kind == KIND_REVOCABLE_KEY && since && sent_at - since > REVOKE_MS)
+    report_violation ("a withdrawn key was served %d ms after the answer",
+                      (int)(sent_at - since));
+  if (c->kind == KIND_RATE_LIMITED && admitted_count < ADMITTED_MAX)
+    admitted_at[admitted_count++] = now_ms ();
 }
 
 /* The answer is whole: what it means, and what comes next. */
 static void
-take_answer (struct caller *c)
+handle_reply (struct caller *c)
 {
-  bool ok = *c->code == '\0';
-  int64_t asked_at = c->at - ANSWER_MS;
+  bool ok = *c->error_code == '\0';
+  int64_t sent_at = c->due_at - REPLY_TIMEOUT_MS;
 
   c->stage = IDLE;
-  c->at = now_ms () + draw (PAUSE_MS);
+  c->due_at = now_ms () + random_below (THINK_TIME_MAX_MS);
   if (ok && c->step != STEP_BEGIN)
-    note_success (c, asked_at);
+    record_success (c, sent_at);
   if (ok && (c->step == STEP_READ || c->step == STEP_INNER_READ))
     check_row (c);
   if (c->step == STEP_WRITE || c->step == STEP_COMMIT)
-    note_fate (c, ok);
+    record_outcome (c, ok);
   if (!ok && c->step == STEP_INNER_WRITE)
-    note_fate (c, false);
+    record_outcome (c, false);
   if (ok && c->step == STEP_BEGIN)
-    ask_read (c, STEP_INNER_READ);
+    send_read (c, STEP_INNER_READ);
   else if (ok && c->step == STEP_INNER_READ)
-    ask_write (c, STEP_INNER_WRITE);
+    send_write (c, STEP_INNER_WRITE);
   else if (ok && c->step == STEP_INNER_WRITE)
-    ask (c, STEP_COMMIT, "COMMIT");
+    send_query (c, STEP_COMMIT, "COMMIT");
   else if (!ok)
-    close_caller (c, 100 + draw (300));
+    close_caller (c, 100 + random_below (300));
 }
 
 /* The connection is gone, or nothing came in time. */
 static void
-lose (struct caller *c)
+fail_connection (struct caller *c)
 {
   if (c->stage == WAITING && c->step == STEP_INNER_WRITE)
-    c->fate[c->writes] = NOT_KEPT;
-  close_caller (c, 100 + draw (300));
+    c->outcome[c->write_count] = NOT_COMMITTED;
+  close_caller (c, 100 + random_below (300));
 }
 
 static void
-take_line (struct caller *c, char *line)
+handle_line (struct caller *c, char *line)
 {
   unsigned owner;
 
@@ -304,45 +304,46 @@
           return;
         }
       c->stage = IDLE;
-      c->at = now_ms () + draw (PAUSE_MS);
+      c->due_at = now_ms () + random_below (THINK_TIME_MAX_MS);
     }
   else if (c->stage != WAITING)
     {
       if (strncmp (line, "ERROR", 5) != 0)
-        fault_found ("caller %u got an answer to nothing: %s", c->index, line);
+        report_violation ("caller %u got an answer to nothing: %s", c->index,
+                          line);
     }
-  else if (sscanf (line, "ROW %u-%u", &owner, &c->row) == 2)
-    c->row_foreign = owner != c->of;
+  else if (sscanf (line, "ROW %u-%u", &owner, &c->row_value) == 2)
+    c->row_of_other_item = owner != c->item;
   else if (strncmp (line, "ERROR ", 6) == 0)
-    sscanf (line, "ERROR %31s", c->code);
+    sscanf (line, "ERROR %31s", c->error_code);
   else if (strncmp (line, "READY", 5) == 0)
-    take_answer (c);
+    handle_reply (c);
 }
 
 static void
 receive (struct caller *c)
 {
-  ssize_t got
-      = recv (c->fd, c->in + c->len, sizeof c->in - c->len - 1, MSG_DONTWAIT);
+  ssize_t got = recv (c->fd, c->input + c->input_len,
+                      sizeof c->input - c->input_len - 1, MSG_DONTWAIT);
   char *end;
 
   if (got == 0 || (got < 0 && errno != EAGAIN))
     {
-      lose (c);
+      fail_connection (c);
       return;
     }
   if (got < 0)
     return;
-  c->len += (size_t)got;
-  c->in[c->len] = '\0';
-  while (c->fd >= 0 && (end = strstr (c->in, "\r\n")))
+  c->input_len += (size_t)got;
+  c->input[c->input_len] = '\0';
+  while (c->fd >= 0 && (end = strstr (c->input, "\r\n")))
     {
-      char line[TEXT];
+      char line[LINE_BYTES];
 
-      snprintf (line, sizeof line, "%.*s", (int)(end - c->in), c->in);
-      c->len -= (size_t)(end + 2 - c->in);
-      memmove (c->in, end + 2, c->len + 1);
-      take_line (c, line);
+      snprintf (line, sizeof line, "%.*s", (int)(end - c->input), c->input);
+      c->input_len -= (size_t)(end + 2 - c->input);
+      memmove (c->input, end + 2, c->input_len + 1);
+      handle_line (c, line);
     }
 }
 
@@ -352,7 +353,7 @@
   for (unsigned i = 0; i < CALLERS; i++)
     {
       callers[i].index = i;
-      callers[i].kind = (enum kind) (i / FRONTS);
+      callers[i].kind = (enum caller_kind) (i / FRONTS);
       callers[i].fd = -1;
     }
 }
@@ -373,56 +374,57 @@
 
       if (c->fd >= 0 && fds[i].revents)
         receive (c);
-      if (now < c->at)
+      if (now < c->due_at)
         continue;
       if (c->stage == CLOSED)
         open_caller (c);
       else if (c->stage == IDLE)
-        begin_op (c);
+        start_operation (c);
       else
-        lose (c);
+        fail_connection (c);
     }
 }
 
 unsigned
 callers_served (void)
 {
-  unsigned n = served;
+  unsigned n = served_count;
 
-  served = 0;
+  served_count = 0;
   return n;
 }
 
 static void
 count_commit (const char *item, const char *data)
 {
-  unsigned of;
-  unsigned owner;
+  unsigned item_index;
+  unsigned writer;
   unsigned n;
 
-  if (sscanf (item, "i%u", &of) != 1 || sscanf (data, "%u-%u", &owner, &n) != 2
-      || owner != of || of >= CALLERS || n >= WRITES_MAX)
-    fault_found ("the log has %s %s, which nobody wrote", item, data);
-  else if (callers[of].found[n]++ > 0)
-    fault_found ("write %s is in the log twice", data);
+  if (sscanf (item, "i%u", &item_index) != 1
+      || sscanf (data, "%u-%u", &writer, &n) != 2 || writer != item_index
+      || item_index >= CALLERS || n >= WRITES_MAX)
+    report_violation ("the log has %s %s, which nobody wrote", item, data);
+  else if (callers[item_index].commit_count[n]++ > 0)
+    report_violation ("write %s is in the log twice", data);
 }
 
 /* In no window more passes than rate and burst, with the slack allowed. */
 static void
 check_rate (void)
 {
-  const double most
-      = (PRESSED_RATE * WINDOW_MS / 1000 + PRESSED_BURST) * 1.1 + 20;
+  const double max_admitted
+      = (LIMITED_RATE * RATE_WINDOW_MS / 1000 + LIMITED_BURST) * 1.1 + 20;
   size_t from = 0;
 
-  for (size_t i = 0; i < passed_count; i++)
+  for (size_t i = 0; i < admitted_count; i++)
     {
-      while (passed[i] - passed[from] > WINDOW_MS)
+      while (admitted_at[i] - admitted_at[from] > RATE_WINDOW_MS)
         from++;
-      if ((double)(i - from + 1) > most)
+      if ((double)(i - from + 1) > max_admitted)
         {
-          fault_found ("%zu operations of a team passed in %d ms",
-                       i - from + 1, WINDOW_MS);
+          report_violation ("%zu operations of a team passed in %d ms",
+                            i - from + 1, RATE_WINDOW_MS);
           return;
         }
     }
@@ -433,20 +435,20 @@
 {
   unsigned acked = 0;
 
-  if (!fleet_dump (count_commit))
-    fault_found ("the group's log cannot be read");
+  if (!fleet_read_commits (count_commit))
+    report_violation ("the group's log cannot be read");
   for (unsigned i = 0; i < CALLERS; i++)
-    for (unsigned n = 1; n <= callers[i].writes; n++)
+    for (unsigned n = 1; n <= callers[i].write_count; n++)
       {
         const struct caller *c = &callers[i];
 
-        acked += c->fate[n] == ACKED;
-        if (c->fate[n] == ACKED && !c->found[n])
-          fault_found ("write %u-%u was acknowledged and is gone", i, n);
-        if (c->fate[n] == NOT_KEPT && c->found[n])
-          fault_found ("write %u-%u was refused and is kept", i, n);
+        acked += c->outcome[n] == ACKED;
+        if (c->outcome[n] == ACKED && !c->commit_count[n])
+          report_violation ("write %u-%u was acknowledged and is gone", i, n);
+        if (c->outcome[n] == NOT_COMMITTED && c->commit_count[n])
+          report_violation ("write %u-%u was refused and is kept", i, n);
       }
   check_rate ();
-  note ("%u writes acknowledged, %zu operations of the pressed team", acked,
-        passed_count);
+  log_event ("%u writes acknowledged, %zu operations of the pressed team",
+             acked, admitted_count);
 }
--- a/tests/soak/fleet.c
+++ b/tests/soak/fleet.c
@@ -15,43 +15,43 @@
 #define HOSTS (CORES + FRONTS)
 /* A host may lose its disk once the others have been well for this time. */
 #define CATCH_UP_MS 8000
-#define LEAVE_MS 2500
+#define DRAIN_MS 2500
 
 struct process
 {
   char name[16];
   pid_t pid;
-  bool stopped;
+  bool paused;
   bool wiped;
-  int64_t wake_at;
-  int64_t start_at;
-  int64_t well_since;
+  int64_t resume_at;
+  int64_t restart_at;
+  int64_t running_since;
 };
 
 struct instance
 {
   bool down;
-  bool leaving;
-  int64_t born;
+  bool draining;
+  int64_t incarnation;
   int64_t stop_at;
-  int64_t start_at;
-  int64_t deaf_until;
+  int64_t restart_at;
+  int64_t replication_cut_until;
 };
 
 static struct process hosts[HOSTS];
 static struct instance instances[INSTANCES];
-static pid_t group;
-static int orders;
+static pid_t group_pid;
+static int group_stdin;
 static char folder[PATH_BYTES];
-static unsigned slot;
+static unsigned subnet;
 static bool first_start = true;
 
 const char *
-address_of (unsigned n)
+loopback_address (unsigned n)
 {
   static _Thread_local char text[32];
 
-  snprintf (text, sizeof text, "127.%u.0.%u", slot, n);
+  snprintf (text, sizeof text, "127.%u.0.%u", subnet, n);
   return text;
 }
 
@@ -89,18 +89,18 @@
 {
   bool core = n < CORES;
   unsigned i = core ? n : n - CORES;
-  char seeds[TEXT] = "";
+  char seeds[LINE_BYTES] = "";
   FILE *f = fopen (path, "w");
 
   for (unsigned c = 0; c < CORES; c++)
     snprintf (seeds + strlen (seeds), sizeof seeds - strlen (seeds),
-              "%s\"%s:%d\"", c ? "," : "", address_of (ADDRESS_CORE + c),
+              "%s\"%s:%d\"", c ? "," : "", loopback_address (ADDRESS_CORE + c),
               PORT_HTTP);
   if (!f)
     exit (2);
   fprintf (f, "{\"host\": \"%s\", \"address\": \"%s\", ",
-           core ? address_of (ADDRESS_CORE + i) : hosts[n].name,
-           address_of (core ? ADDRESS_CORE + i : ADDRESS_FRONT + i));
+           core ? loopback_address (ADDRESS_CORE + i) : hosts[n].name,
+           loopback_address (core ? ADDRESS_CORE + i : ADDRESS_FRONT + i));
   fprintf (f,
            "\"zone\": \"z%u\", \"zones\": {\"z0\": \"a\", \"z1\": \"b\", "
            "\"z2\": \"c\"}, \"seeds\": [%s], \"control_port\": %d, "
@@ -110,17 +110,18 @@
     fprintf (f,
              ", \"first_start\": %s, \"control_address\": \"%s:%d\", "
              "\"data_folder\": \"%s/%s.data\"",
-             first_start ? "true" : "false", address_of (ADDRESS_CORE + i),
-             PORT_HTTP, folder, hosts[n].name);
+             first_start ? "true" : "false",
+             loopback_address (ADDRESS_CORE + i), PORT_HTTP, folder,
+             hosts[n].name);
   if (core)
     fprintf (f, ", \"promotion_address\": \"%s:%d\"}\n",
-             address_of (ADDRESS_PROMOTION), PORT_PROMOTION);
+             loopback_address (ADDRESS_PROMOTION), PORT_PROMOTION);
   else
     {
       fprintf (f, ", \"session_address\": \"%s:%d\"",
-               address_of (ADDRESS_FRONT + i), PORT_SESSION);
+               loopback_address (ADDRESS_FRONT + i), PORT_SESSION);
       fprintf (f, ", \"ready_address\": \"%s:%d\"}\n",
-               address_of (ADDRESS_FRONT + i), PORT_READY);
+               loopback_address (ADDRESS_FRONT + i), PORT_READY);
     }
   fclose (f);
 }
@@ -141,8 +142,8 @@
   snprintf (log, sizeof log, "%s/%s.log", folder, hosts[n].name);
   write_settings (n, settings);
   hosts[n].pid = spawn (log, -1, argv, settings);
-  hosts[n].start_at = 0;
-  hosts[n].well_since = now_ms ();
+  hosts[n].restart_at = 0;
+  hosts[n].running_since = now_ms ();
 }
 
 static void
@@ -160,35 +161,35 @@
 
   snprintf (binary, sizeof binary, "%s/group", build ? build : "build");
   snprintf (log, sizeof log, "%s/group.log", folder);
-  snprintf (address, sizeof address, "%s", address_of (ADDRESS_GROUP));
+  snprintf (address, sizeof address, "%s", loopback_address (ADDRESS_GROUP));
   for (int i = 0; i < INSTANCES; i++)
     snprintf (ports[i], sizeof ports[i], "%d", PORT_GROUP + i);
   snprintf (ports[INSTANCES], sizeof ports[0], "%d", PORT_PROMOTION);
   if (pipe2 (pipes, O_CLOEXEC) != 0)
     exit (2);
-  group = spawn (log, pipes[0], argv, NULL);
+  group_pid = spawn (log, pipes[0], argv, NULL);
   close (pipes[0]);
-  orders = pipes[1];
+  group_stdin = pipes[1];
 }
 
 static void
-order_group (const char *word, unsigned instance)
+send_group_command (const char *word, unsigned instance)
 {
   char line[32];
   int len = snprintf (line, sizeof line, "%s %u\n", word, instance + 1);
 
-  if (write (orders, line, (size_t)len) != len)
-    fault_found ("the group is gone");
+  if (write (group_stdin, line, (size_t)len) != len)
+    report_violation ("the group is gone");
 }
 
 void
-fleet_start (const char *in, unsigned number)
+fleet_start (const char *run_folder, unsigned run_subnet)
 {
-  snprintf (folder, sizeof folder, "%s", in);
-  slot = number;
+  snprintf (folder, sizeof folder, "%s", run_folder);
+  subnet = run_subnet;
   start_group ();
   for (unsigned i = 0; i < INSTANCES; i++)
-    instances[i].born = unix_ms ();
+    instances[i].incarnation = unix_ms ();
   for (unsigned n = 0; n < HOSTS; n++)
     {
       snprintf (hosts[n].name, sizeof hosts[n].name, "%s%u",
@@ -206,11 +207,11 @@
   if (!p->pid || waitpid (p->pid, &status, WNOHANG) != p->pid)
     return;
   p->pid = 0;
-  if (p->start_at)
+  if (p->restart_at)
     return;
   if (!WIFEXITED (status) || WEXITSTATUS (status) != 0)
-    fault_found ("%s ended by itself, status %d", p->name, status);
-  p->start_at = now + 500;
+    report_violation ("%s ended by itself, status %d", p->name, status);
+  p->restart_at = now + 500;
 }
 
 void
@@ -223,35 +224,35 @@
       struct process *p = &hosts[n];
 
       reap (p, now);
-      if (p->stopped && now >= p->wake_at)
+      if (p->paused && now >= p->resume_at)
         {
           kill (p->pid, SIGCONT);
-          p->stopped = false;
-          p->well_since = now;
+          p->paused = false;
+          p->running_since = now;
         }
-      if (!p->pid && now >= p->start_at)
+      if (!p->pid && now >= p->restart_at)
         start_host (n);
     }
   for (unsigned i = 0; i < INSTANCES; i++)
     {
       struct instance *in = &instances[i];
 
-      if (in->deaf_until && now >= in->deaf_until)
+      if (in->replication_cut_until && now >= in->replication_cut_until)
         {
-          in->deaf_until = 0;
-          order_group ("hear", i);
+          in->replication_cut_until = 0;
+          send_group_command ("hear", i);
         }
       if (in->stop_at && now >= in->stop_at)
         {
           in->stop_at = 0;
           in->down = true;
-          order_group ("stop", i);
+          send_group_command ("stop", i);
         }
-      if (in->down && now >= in->start_at)
+      if (in->down && now >= in->restart_at)
         {
-          in->down = in->leaving = false;
-          in->born = unix_ms ();
-          order_group ("start", i);
+          in->down = in->draining = false;
+          in->incarnation = unix_ms ();
+          send_group_command ("start", i);
         }
     }
 }
@@ -265,8 +266,8 @@
   kill (p->pid, SIGKILL);
   waitpid (p->pid, NULL, 0);
   p->pid = 0;
-  p->stopped = false;
-  p->start_at = now_ms () + pause_ms;
+  p->paused = false;
+  p->restart_at = now_ms () + pause_ms;
 }
 
 /* Only while the other control hosts have been well for a while. */
@@ -276,19 +277,19 @@
   char command[PATH_BYTES + 64];
 
   for (unsigned n = 0; n < CORES; n++)
-    if (!hosts[n].pid || hosts[n].stopped
-        || now_ms () - hosts[n].well_since < CATCH_UP_MS)
+    if (!hosts[n].pid || hosts[n].paused
+        || now_ms () - hosts[n].running_since < CATCH_UP_MS)
       return;
-  kill_host (p, 300 + draw (1500));
+  kill_host (p, 300 + random_below (1500));
   snprintf (command, sizeof command, "rm -rf %s/%s.data", folder, p->name);
   if (system (command) != 0)
     exit (2);
-  note ("%s lost its disk", p->name);
+  log_event ("%s lost its disk", p->name);
 }
 
 /* A write that was cut off by the end of the process. */
 static void
-tear_disk (const struct process *p)
+append_torn_record (const struct process *p)
 {
   char command[PATH_BYTES + 128];
 
@@ -297,7 +298,7 @@
             "printf '\\001\\377x' >> \"$f\"; done; true",
             folder, p->name);
   if (system (command) == 0)
-    note ("%s has a torn write", p->name);
+    log_event ("%s has a torn write", p->name);
 }
 
 static void
@@ -306,83 +307,83 @@
   if (!p->pid)
     return;
   kill (p->pid, SIGSTOP);
-  p->stopped = true;
-  p->wake_at = now_ms () + ms;
+  p->paused = true;
+  p->resume_at = now_ms () + ms;
 }
 
 /* Another instance may hold the only copy of a commit meanwhile. */
 static void
-deafen_instance (void)
+cut_replication (void)
 {
-  unsigned i = draw (INSTANCES);
-  unsigned ms = 500 + draw (3500);
+  unsigned i = random_below (INSTANCES);
+  unsigned ms = 500 + random_below (3500);
 
   for (unsigned k = 0; k < INSTANCES; k++)
-    if (instances[k].deaf_until)
+    if (instances[k].replication_cut_until)
       return;
-  instances[i].deaf_until = now_ms () + ms;
-  order_group ("deaf", i);
-  note ("instance t%u receives nothing for %u ms", i + 1, ms);
+  instances[i].replication_cut_until = now_ms () + ms;
+  send_group_command ("deaf", i);
+  log_event ("instance t%u receives nothing for %u ms", i + 1, ms);
 }
 
 static void
-fault_instance (void)
+stop_random_instance (void)
 {
-  unsigned i = draw (INSTANCES);
+  unsigned i = random_below (INSTANCES);
   struct instance *in = &instances[i];
-  bool leaves = draw (2);
+  bool drains = random_below (2);
 
   for (unsigned k = 0; k < INSTANCES; k++)
     if (instances[k].down || instances[k].stop_at)
       return;
-  in->leaving = leaves;
-  in->stop_at = now_ms () + (leaves ? LEAVE_MS : 1);
-  in->start_at = in->stop_at + 500 + draw (3000);
-  note ("instance t%u %s", i + 1, leaves ? "leaves" : "stops");
+  in->draining = drains;
+  in->stop_at = now_ms () + (drains ? DRAIN_MS : 1);
+  in->restart_at = in->stop_at + 500 + random_below (3000);
+  log_event ("instance t%u %s", i + 1, drains ? "leaves" : "stops");
 }
 
 void
-fleet_fault (void)
+fleet_inject_fault (void)
 {
-  struct process *p = &hosts[draw (HOSTS)];
-  unsigned ms = 200 + draw (4000);
+  struct process *p = &hosts[random_below (HOSTS)];
+  unsigned ms = 200 + random_below (4000);
 
-  switch (draw (11))
+  switch (random_below (11))
     {
     case 0:
     case 1:
-      kill_host (p, 200 + draw (2000));
-      note ("%s killed", p->name);
+      kill_host (p, 200 + random_below (2000));
+      log_event ("%s killed", p->name);
       break;
     case 2:
     case 3:
       pause_host (p, ms);
-      note ("%s paused for %u ms", p->name, ms);
+      log_event ("%s paused for %u ms", p->name, ms);
       break;
     case 4:
-      if (p->pid && !p->stopped)
+      if (p->pid && !p->paused)
         kill (p->pid, SIGTERM);
-      note ("%s told to stop", p->name);
+      log_event ("%s told to stop", p->name);
       break;
     case 5:
-      wipe_core (&hosts[draw (CORES)]);
+      wipe_core (&hosts[random_below (CORES)]);
       break;
     case 6:
       for (unsigned n = 0; n < CORES; n++)
-        kill_host (&hosts[n], 100 + draw (800));
-      note ("all control hosts killed");
+        kill_host (&hosts[n], 100 + random_below (800));
+      log_event ("all control hosts killed");
       break;
     case 7:
-      p = &hosts[draw (CORES)];
-      kill_host (p, 200 + draw (500));
-      tear_disk (p);
+      p = &hosts[random_below (CORES)];
+      kill_host (p, 200 + random_below (500));
+      append_torn_record (p);
       break;
     case 8:
     case 9:
-      deafen_instance ();
+      cut_replication ();
       break;
     default:
-      fault_instance ();
+      stop_random_instance ();
       break;
     }
 }
@@ -394,41 +395,41 @@
 
   for (unsigned n = 0; n < HOSTS; n++)
     {
-      hosts[n].wake_at = now;
-      if (hosts[n].start_at > now)
-        hosts[n].start_at = now;
+      hosts[n].resume_at = now;
+      if (hosts[n].restart_at > now)
+        hosts[n].restart_at = now;
     }
   for (unsigned i = 0; i < INSTANCES; i++)
-    if (instances[i].deaf_until)
-      instances[i].deaf_until = now;
+    if (instances[i].replication_cut_until)
+      instances[i].replication_cut_until = now;
   for (unsigned i = 0; i < INSTANCES; i++)
     if (instances[i].stop_at || instances[i].down)
-      instances[i].start_at = now + 200;
+      instances[i].restart_at = now + 200;
 }
 
 bool
-fleet_leaving (unsigned i)
+fleet_is_draining (unsigned i)
 {
-  return instances[i].leaving;
+  return instances[i].draining;
 }
 
 int64_t
-fleet_born (unsigned i)
+fleet_incarnation (unsigned i)
 {
-  return instances[i].born;
+  return instances[i].incarnation;
 }
 
 bool
-fleet_dump (void (*each) (const char *item, const char *data))
+fleet_read_commits (void (*each) (const char *item, const char *data))
 {
   char path[PATH_BYTES + 32];
-  char line[TEXT];
+  char line[LINE_BYTES];
   char item[64];
   char data[64];
   bool complete = false;
   FILE *f;
 
-  if (write (orders, "dump\n", 5) != 5)
+  if (write (group_stdin, "dump\n", 5) != 5)
     return false;
   usleep (500000);
   snprintf (path, sizeof path, "%s/group.log", folder);
@@ -436,7 +437,7 @@
   while (f && fgets (line, sizeof line, f))
     {
       if (strncmp (line, "FAULT", 5) == 0)
-        fault_found ("%s", line);
+        report_violation ("%s", line);
       if (sscanf (line, "commit %*s %63s %63s", item, data) == 2)
         each (item, data);
       complete = complete || strcmp (line, "end\n") == 0;
@@ -451,6 +452,6 @@
 {
   for (unsigned n = 0; n < HOSTS; n++)
     kill_host (&hosts[n], 0);
-  kill (group, SIGKILL);
-  waitpid (group, NULL, 0);
+  kill (group_pid, SIGKILL);
+  waitpid (group_pid, NULL, 0);
 }
--- a/tests/soak/operator.c
+++ b/tests/soak/operator.c
@@ -15,78 +15,79 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define CALL_MS 800L
-#define BEAT_MS 400
-#define CHANGE_MS 1500
-#define READ_MS 700
-#define BODY 4096
+#define REQUEST_TIMEOUT_MS 800L
+#define HEARTBEAT_INTERVAL_MS 400
+#define CHANGE_INTERVAL_MS 1500
+#define READ_INTERVAL_MS 700
+#define BODY_BYTES 4096
 #define VERSIONS_MAX 4096
 
-static atomic_llong withdrawn;
-static atomic_bool calm;
-static uint64_t seed;
+static atomic_llong key_revoked_at;
+static atomic_bool changes_stopped;
+static uint64_t random_state;
 static uint64_t sequence[INSTANCES];
-static uint64_t version;
-static bool granted = true;
+static uint64_t last_version;
+static bool acked_has_guest_key = true;
 /* The document under way, 0 when it was acknowledged. */
-static uint64_t pending;
-static bool pending_grants;
+static uint64_t pending_version;
+static bool pending_has_guest_key;
 /* Highest acknowledged version and when; an earlier one that is old enough
    to be in force everywhere. */
-static uint64_t acked;
+static uint64_t acked_version;
 static int64_t acked_at;
-static uint64_t in_force;
+static uint64_t in_force_version;
 
 static unsigned
-choose (unsigned bound)
+random_choice (unsigned bound)
 {
-  seed ^= seed << 13;
-  seed ^= seed >> 7;
-  seed ^= seed << 17;
-  return (unsigned)(seed % bound);
+  random_state ^= random_state << 13;
+  random_state ^= random_state >> 7;
+  random_state ^= random_state << 17;
+  return (unsigned)(random_state % bound);
 }
 
-struct answer
+struct response
 {
-  char text[BODY];
+  char text[BODY_BYTES];
   size_t len;
 };
 
 static size_t
-take (char *data, size_t size, size_t count, void *ctx)
+append_response (char *data, size_t size, size_t count, void *ctx)
 {
-  struct answer *a = ctx;
+  struct response *r = ctx;
   size_t n = size * count;
 
-  if (a->len + n < sizeof a->text)
+  if (r->len + n < sizeof r->text)
     {
-      memcpy (a->text + a->len, data, n);
-      a->len += n;
-      a->text[a->len] = '\0';
+      memcpy (r->text + r->len, data, n);
+      r->len += n;
+      r->text[r->len] = '\0';
     }
   return n;
 }
 
 /* Calls a control host drawn by lot.  Return: the status, 0 without one. */
 static long
-call (const char *path, const char *body, struct answer *a)
+send_request (const char *path, const char *body, struct response *r)
 {
   CURL *c = curl_easy_init ();
   char url[128];
   long status = 0;
 
-  a->len = 0;
-  a->text[0] = '\0';
+  r->len = 0;
+  r->text[0] = '\0';
   snprintf (url, sizeof url, "http://%s:%d%s",
-            address_of (ADDRESS_CORE + choose (CORES)), PORT_HTTP, path);
+            loopback_address (ADDRESS_CORE + random_choice (CORES)), PORT_HTTP,
+            path);
   curl_easy_setopt (c, CURLOPT_URL, url);
   curl_easy_setopt (c, CURLOPT_NOSIGNAL, 1L);
-  curl_easy_setopt (c, CURLOPT_TIMEOUT_MS, CALL_MS);
+  curl_easy_setopt (c, CURLOPT_TIMEOUT_MS, REQUEST_TIMEOUT_MS);
   curl_easy_setopt (c, CURLOPT_FOLLOWLOCATION, 1L);
   curl_easy_setopt (c, CURLOPT_POSTREDIR, (long)CURL_REDIR_POST_ALL);
   curl_easy_setopt (c, CURLOPT_MAXREDIRS, 2L);
-  curl_easy_setopt (c, CURLOPT_WRITEFUNCTION, take);
-  curl_easy_setopt (c, CURLOPT_WRITEDATA, a);
+  curl_easy_setopt (c, CURLOPT_WRITEFUNCTION, append_response);
+  curl_easy_setopt (c, CURLOPT_WRITEDATA, r);
   if (body)
     curl_easy_setopt (c, CURLOPT_POSTFIELDS, body);
   if (curl_easy_perform (c) == CURLE_OK)
@@ -97,21 +98,21 @@
 
 /* Asks an instance for its role.  Return: whether it answers. */
 static bool
-ask_role (unsigned i, bool *primary)
+query_role (unsigned i, bool *primary)
 {
-  static const char question[] = "STARTUP db control\r\nQUERY - STATUS\r\n";
-  struct sockaddr_in at = { .sin_family = AF_INET };
-  struct timeval limit = { 0, 300000 };
-  char text[TEXT] = "";
+  static const char query[] = "STARTUP db control\r\nQUERY - STATUS\r\n";
+  struct sockaddr_in address = { .sin_family = AF_INET };
+  struct timeval timeout = { 0, 300000 };
+  char text[LINE_BYTES] = "";
   size_t len = 0;
   ssize_t got;
   int fd = socket (AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
 
-  at.sin_port = htons ((uint16_t)(PORT_GROUP + i));
-  inet_pton (AF_INET, address_of (ADDRESS_GROUP), &at.sin_addr);
-  setsockopt (fd, SOL_SOCKET, SO_RCVTIMEO, &limit, sizeof limit);
-  if (connect (fd, (struct sockaddr *)&at, sizeof at) == 0
-      && send (fd, question, sizeof question - 1, MSG_NOSIGNAL) > 0)
+  address.sin_port = htons ((uint16_t)(PORT_GROUP + i));
+  inet_pton (AF_INET, loopback_address (ADDRESS_GROUP), &address.sin_addr);
+  setsockopt (fd, SOL_SOCKET, SO_RCVTIMEO, &timeout, sizeof timeout);
+  if (connect (fd, (struct sockaddr *)&address, sizeof address) == 0
+      && send (fd, query, sizeof query - 1, MSG_NOSIGNAL) > 0)
     while (!strstr (text, "COMPLETE")
            && (got = recv (fd, text + len, sizeof text - len - 1, 0)) > 0)
       {
@@ -124,29 +125,29 @@
 }
 
 static void
-beat (unsigned i)
+send_heartbeat (unsigned i)
 {
-  struct answer a;
+  struct response r;
   char path[64];
-  char body[TEXT];
+  char body[LINE_BYTES];
   bool primary;
 
-  if (!ask_role (i, &primary))
+  if (!query_role (i, &primary))
     return;
   snprintf (path, sizeof path, "/v1/Instances.Heartbeat/t%u", i + 1);
   snprintf (body, sizeof body,
             "{\"service\":\"db\",\"address\":\"%s:%u\",\"zone\":\"z%u\","
             "\"slots\":5,\"state\":\"%s\",\"db_role\":\"%s\","
             "\"sequence\":%llu,\"born\":%lld}",
-            address_of (ADDRESS_GROUP + 1 + i), PORT_GROUP + i, i,
-            fleet_leaving (i) ? "draining" : "ready",
+            loopback_address (ADDRESS_GROUP + 1 + i), PORT_GROUP + i, i,
+            fleet_is_draining (i) ? "draining" : "ready",
             primary ? "primary" : "replica", (unsigned long long)++sequence[i],
-            (long long)fleet_born (i));
-  call (path, body, &a);
+            (long long)fleet_incarnation (i));
+  send_request (path, body, &r);
 }
 
 static void
-make_document (char *out, size_t size, uint64_t number, bool guests)
+format_document (char *out, size_t size, uint64_t version, bool with_guest_key)
 {
   snprintf (
       out, size,
@@ -160,102 +161,105 @@
       "\"k1\"],\"rate_per_s\":400,\"burst\":400},{\"name\":\"guests\","
       "\"api_keys\":[%s],\"rate_per_s\":100,\"burst\":100},{\"name\":"
       "\"pressed\",\"api_keys\":[\"p1\"],\"rate_per_s\":10,\"burst\":10}]}",
-      (unsigned long long)number, 1200ULL + number % 5 * 100,
-      guests ? "\"g1\"" : "");
+      (unsigned long long)version, 1200ULL + version % 5 * 100,
+      with_guest_key ? "\"g1\"" : "");
 }
 
 /* Sends the document under way until it is acknowledged. */
 static void
-push_document (void)
+send_document (void)
 {
-  struct answer a;
-  char body[BODY];
+  struct response r;
+  char body[BODY_BYTES];
   long status;
 
-  if (pending_grants)
-    atomic_store (&withdrawn, 0);
-  make_document (body, sizeof body, pending, pending_grants);
-  status = call ("/v1/Config.Replace", body, &a);
+  if (pending_has_guest_key)
+    atomic_store (&key_revoked_at, 0);
+  format_document (body, sizeof body, pending_version, pending_has_guest_key);
+  status = send_request ("/v1/Config.Replace", body, &r);
   if (status >= 400 && status < 500 && status != 408 && status != 429)
-    fault_found ("document %llu was refused with %ld",
-                 (unsigned long long)pending, status);
+    report_violation ("document %llu was refused with %ld",
+                      (unsigned long long)pending_version, status);
   if (status != 200)
     return;
-  if (!pending_grants)
-    atomic_store (&withdrawn, now_ms ());
-  acked = pending;
+  if (!pending_has_guest_key)
+    atomic_store (&key_revoked_at, now_ms ());
+  acked_version = pending_version;
   acked_at = now_ms ();
-  granted = pending_grants;
-  pending = 0;
+  acked_has_guest_key = pending_has_guest_key;
+  pending_version = 0;
 }
 
 static void
-send_bad (void)
+send_truncated_document (void)
 {
-  struct answer a;
-  char body[BODY];
+  struct response r;
+  char body[BODY_BYTES];
   long status;
 
-  make_document (body, sizeof body, version + 100000, true);
+  format_document (body, sizeof body, last_version + 100000, true);
   body[strlen (body) / 2] = '\0';
-  status = call ("/v1/Config.Replace", body, &a);
+  status = send_request ("/v1/Config.Replace", body, &r);
   if (status == 200)
-    fault_found ("a document cut short was acknowledged");
+    report_violation ("a document cut short was acknowledged");
 }
 
 static void
-read_back (void)
+check_described_version (void)
 {
-  struct answer a;
-  uint64_t least = in_force;
-  const char *at;
+  struct response r;
+  uint64_t oldest_allowed = in_force_version;
+  const char *found;
   uint64_t seen;
 
-  if (call ("/v1/Config.Describe", NULL, &a) != 200)
+  if (send_request ("/v1/Config.Describe", NULL, &r) != 200)
     return;
-  at = strstr (a.text, "\"version\":");
-  seen = at ? strtoull (at + 10, NULL, 10) : 0;
-  if (seen < least || seen > version)
-    fault_found ("version %llu was read back, %llu is in force, %llu sent",
-                 (unsigned long long)seen, (unsigned long long)least,
-                 (unsigned long long)version);
+  found = strstr (r.text, "\"version\":");
+  seen = found ? strtoull (found + 10, NULL, 10) : 0;
+  if (seen < oldest_allowed || seen > last_version)
+    report_violation (
+        "version %llu was read back, %llu is in force, %llu sent",
+        (unsigned long long)seen, (unsigned long long)oldest_allowed,
+        (unsigned long long)last_version);
 }
 
 static void *
-run (void *arg)
+run_operator (void *arg)
 {
-  int64_t beat_at = 0;
-  int64_t change_at = 0;
-  int64_t read_at = 0;
+  int64_t next_heartbeat_at = 0;
+  int64_t next_change_at = 0;
+  int64_t next_read_at = 0;
 
   (void)arg;
   for (;;)
     {
       int64_t now = now_ms ();
 
-      if (acked && now - acked_at > APPLY_MS)
-        in_force = acked;
-      if (now >= beat_at)
+      if (acked_version && now - acked_at > CONFIG_APPLY_MS)
+        in_force_version = acked_version;
+      if (now >= next_heartbeat_at)
         {
           for (unsigned i = 0; i < INSTANCES; i++)
-            beat (i);
-          beat_at = now + BEAT_MS;
+            send_heartbeat (i);
+          next_heartbeat_at = now + HEARTBEAT_INTERVAL_MS;
         }
-      if (!pending && now >= change_at && (!atomic_load (&calm) || !granted))
+      if (!pending_version && now >= next_change_at
+          && (!atomic_load (&changes_stopped) || !acked_has_guest_key))
         {
-          version += 1 + choose (4);
-          pending = version;
-          pending_grants = atomic_load (&calm) || choose (3) > 0 || !acked;
-          change_at = now + CHANGE_MS;
-          if (choose (3) == 0)
-            send_bad ();
+          last_version += 1 + random_choice (4);
+          pending_version = last_version;
+          pending_has_guest_key = atomic_load (&changes_stopped)
+                                  || random_choice (3) > 0 || !acked_version;
+          next_change_at = now + CHANGE_INTERVAL_MS;
+          if (random_choice (3) == 0)
+            send_truncated_document ();
         }
-      if (pending)
-        push_document ();
-      if (now >= read_at)
+      if (pending_version)
+        send_document ();
+      if (now >= next_read_at)
         {
-          read_back ();
-          read_at = now + READ_MS;
+          check_described_version ();
+          next_read_at = now + READ_INTERVAL_MS;
         }
       usleep (20000);
     }
@@ -268,19 +272,19 @@
   pthread_t thread;
 
   curl_global_init (CURL_GLOBAL_NOTHING);
-  seed = (uint64_t)draw (1u << 30) * 2 + 1;
-  if (pthread_create (&thread, NULL, run, NULL) != 0)
+  random_state = (uint64_t)random_below (1u << 30) * 2 + 1;
+  if (pthread_create (&thread, NULL, run_operator, NULL) != 0)
     exit (2);
 }
 
 void
-operator_calm (void)
+operator_stop_changes (void)
 {
-  atomic_store (&calm, true);
+  atomic_store (&changes_stopped, true);
 }
 
 int64_t
-operator_withdrawn (void)
+operator_key_revoked_at (void)
 {
-  return atomic_load (&withdrawn);
+  return atomic_load (&key_revoked_at);
 }
--- a/tests/soak/proxy.c
+++ b/tests/soak/proxy.c
@@ -16,42 +16,42 @@
 #include <unistd.h>
 
 #define LISTENERS_MAX 64
-#define PAIRS_MAX 2048
-#define CHUNK 16384
-#define CUT_MIN_MS 200
-#define CUT_MAX_MS 4000
+#define RELAYS_MAX 2048
+#define BUFFER_BYTES 16384
+#define FAULT_MIN_MS 200
+#define FAULT_MAX_MS 4000
 #define DELAY_MAX_MS 250
 
 struct listener
 {
   int fd;
-  char to[32];
-  unsigned port;
-  bool hold[2];
+  char dest_ip[32];
+  unsigned dest_port;
+  bool blocked[2];
   int delay_ms;
-  int64_t until;
+  int64_t fault_until;
 };
 
 /* One direction of a connection: bytes read and not yet written. */
-struct way
+struct direction
 {
-  char bytes[CHUNK];
+  char bytes[BUFFER_BYTES];
   size_t len;
-  int64_t due;
-  bool ended;
+  int64_t send_at;
+  bool eof;
 };
 
-struct pair
+struct relay
 {
-  struct listener *from;
+  struct listener *listener;
   int fd[2];
   bool connecting;
-  struct way way[2];
+  struct direction direction[2];
 };
 
 static struct listener listeners[LISTENERS_MAX];
 static size_t listener_count;
-static struct pair *pairs[PAIRS_MAX];
+static struct relay *relays[RELAYS_MAX];
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 
 static struct sockaddr_in
@@ -65,7 +65,7 @@
 }
 
 static void
-forward (const char *ip, unsigned port, const char *to, unsigned to_port)
+add_listener (const char *ip, unsigned port, const char *to, unsigned to_port)
 {
   struct listener *l = &listeners[listener_count++];
   struct sockaddr_in at = socket_address (ip, port);
@@ -73,8 +73,8 @@
 
   l->fd = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   setsockopt (l->fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  snprintf (l->to, sizeof l->to, "%s", to);
-  l->port = to_port;
+  snprintf (l->dest_ip, sizeof l->dest_ip, "%s", to);
+  l->dest_port = to_port;
   if (bind (l->fd, (struct sockaddr *)&at, sizeof at) != 0
       || listen (l->fd, 128) != 0)
     {
@@ -84,7 +84,7 @@
 }
 
 static void
-drop_pair (struct pair **at, bool reset)
+close_relay (struct relay **at, bool reset)
 {
   struct linger hard = { 1, 0 };
 
@@ -99,65 +99,65 @@
 }
 
 static void
-take_connection (struct listener *l)
+accept_connection (struct listener *l)
 {
-  struct sockaddr_in to = socket_address (l->to, l->port);
+  struct sockaddr_in to = socket_address (l->dest_ip, l->dest_port);
   int fd = accept4 (l->fd, NULL, NULL, SOCK_NONBLOCK | SOCK_CLOEXEC);
   size_t i = 0;
 
   if (fd < 0)
     return;
-  while (i < PAIRS_MAX && pairs[i])
+  while (i < RELAYS_MAX && relays[i])
     i++;
-  if (i == PAIRS_MAX)
+  if (i == RELAYS_MAX)
     {
       close (fd);
       return;
     }
-  pairs[i] = calloc (1, sizeof *pairs[i]);
-  pairs[i]->from = l;
-  pairs[i]->fd[0] = fd;
-  pairs[i]->fd[1]
+  relays[i] = calloc (1, sizeof *relays[i]);
+  relays[i]->listener = l;
+  relays[i]->fd[0] = fd;
+  relays[i]->fd[1]
       = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (connect (pairs[i]->fd[1], (struct sockaddr *)&to, sizeof to) != 0
+  if (connect (relays[i]->fd[1], (struct sockaddr *)&to, sizeof to) != 0
       && errno != EINPROGRESS)
-    drop_pair (&pairs[i], true);
+    close_relay (&relays[i], true);
 }
 
 /* Moves bytes one way.  Return: whether the connection goes on. */
 static bool
-move (struct pair *p, int way, int64_t now)
+relay_bytes (struct relay *r, int direction, int64_t now)
 {
-  struct way *w = &p->way[way];
+  struct direction *d = &r->direction[direction];
   ssize_t n;
 
-  if (w->len < CHUNK && !w->ended)
+  if (d->len < BUFFER_BYTES && !d->eof)
     {
-      n = recv (p->fd[way], w->bytes + w->len, CHUNK - w->len, 0);
+      n = recv (r->fd[direction], d->bytes + d->len, BUFFER_BYTES - d->len, 0);
       if (n == 0)
-        w->ended = true;
+        d->eof = true;
       else if (n < 0 && errno != EAGAIN)
         return false;
-      if (n > 0 && w->len == 0)
-        w->due = now + p->from->delay_ms;
+      if (n > 0 && d->len == 0)
+        d->send_at = now + r->listener->delay_ms;
       if (n > 0)
-        w->len += (size_t)n;
+        d->len += (size_t)n;
     }
-  if (p->from->hold[way] || now < w->due)
+  if (r->listener->blocked[direction] || now < d->send_at)
     return true;
-  if (w->len)
+  if (d->len)
     {
-      n = send (p->fd[!way], w->bytes, w->len, MSG_NOSIGNAL);
+      n = send (r->fd[!direction], d->bytes, d->len, MSG_NOSIGNAL);
       if (n < 0)
         return errno == EAGAIN || errno == ENOTCONN;
-      memmove (w->bytes, w->bytes + n, w->len - (size_t)n);
-      w->len -= (size_t)n;
+      memmove (d->bytes, d->bytes + n, d->len - (size_t)n);
+      d->len -= (size_t)n;
     }
-  return !w->ended || w->len > 0;
+  return !d->eof || d->len > 0;
 }
 
 static void
-step (void)
+process_relays (void)
 {
   int64_t now = now_ms ();
 
@@ -165,27 +165,29 @@
     {
       struct listener *l = &listeners[i];
 
-      if (l->until && now >= l->until)
+      if (l->fault_until && now >= l->fault_until)
         {
-          l->hold[0] = l->hold[1] = false;
+          l->blocked[0] = l->blocked[1] = false;
           l->delay_ms = 0;
-          l->until = 0;
+          l->fault_until = 0;
         }
-      take_connection (l);
+      accept_connection (l);
     }
-  for (size_t i = 0; i < PAIRS_MAX; i++)
-    if (pairs[i] && (!move (pairs[i], 0, now) || !move (pairs[i], 1, now)))
-      drop_pair (&pairs[i], false);
+  for (size_t i = 0; i < RELAYS_MAX; i++)
+    if (relays[i]
+        && (!relay_bytes (relays[i], 0, now)
+            || !relay_bytes (relays[i], 1, now)))
+      close_relay (&relays[i], false);
 }
 
 static void *
-run (void *arg)
+run_forwarders (void *arg)
 {
   (void)arg;
   for (;;)
     {
       pthread_mutex_lock (&lock);
-      step ();
+      process_relays ();
       pthread_mutex_unlock (&lock);
       usleep (1000);
     }
@@ -193,27 +195,28 @@
 }
 
 static void
-add_listeners (void)
+open_listeners (void)
 {
   char to[32];
 
   for (unsigned c = 0; c < CORES; c++)
     {
-      snprintf (to, sizeof to, "%s", address_of (ADDRESS_CORE + c));
+      snprintf (to, sizeof to, "%s", loopback_address (ADDRESS_CORE + c));
       for (unsigned from = 0; from < CORES + FRONTS; from++)
-        forward (to, PORT_PEER + from, to, PORT_CONTROL);
+        add_listener (to, PORT_PEER + from, to, PORT_CONTROL);
     }
   for (unsigned f = 0; f < FRONTS; f++)
     {
-      snprintf (to, sizeof to, "%s", address_of (ADDRESS_FRONT + f));
-      forward (address_of (ADDRESS_CALLERS + f), PORT_SESSION, to,
-               PORT_SESSION);
+      snprintf (to, sizeof to, "%s", loopback_address (ADDRESS_FRONT + f));
+      add_listener (loopback_address (ADDRESS_CALLERS + f), PORT_SESSION, to,
+                    PORT_SESSION);
     }
-  snprintf (to, sizeof to, "%s", address_of (ADDRESS_GROUP));
+  snprintf (to, sizeof to, "%s", loopback_address (ADDRESS_GROUP));
   for (unsigned i = 0; i < INSTANCES; i++)
-    forward (address_of (ADDRESS_GROUP + 1 + i), PORT_GROUP + i, to,
-             PORT_GROUP + i);
-  forward (address_of (ADDRESS_PROMOTION), PORT_PROMOTION, to, PORT_PROMOTION);
+    add_listener (loopback_address (ADDRESS_GROUP + 1 + i), PORT_GROUP + i, to,
+                  PORT_GROUP + i);
+  add_listener (loopback_address (ADDRESS_PROMOTION), PORT_PROMOTION, to,
+                PORT_PROMOTION);
 }
 
 void
@@ -221,34 +224,35 @@
 {
   pthread_t thread;
 
-  add_listeners ();
-  if (pthread_create (&thread, NULL, run, NULL) != 0)
+  open_listeners ();
+  if (pthread_create (&thread, NULL, run_forwarders, NULL) != 0)
     exit (2);
 }
 
 void
-proxy_fault (void)
+proxy_inject_fault (void)
 {
-  unsigned n = draw ((unsigned)listener_count);
-  unsigned kind = draw (5);
+  unsigned n = random_below ((unsigned)listener_count);
+  unsigned kind = random_below (5);
   struct listener *l = &listeners[n];
-  unsigned ms = CUT_MIN_MS + draw (CUT_MAX_MS - CUT_MIN_MS);
+  unsigned ms = FAULT_MIN_MS + random_below (FAULT_MAX_MS - FAULT_MIN_MS);
 
   pthread_mutex_lock (&lock);
   if (kind == 0)
-    for (size_t i = 0; i < PAIRS_MAX; i++)
-      if (pairs[i] && pairs[i]->from == l)
-        drop_pair (&pairs[i], true);
+    for (size_t i = 0; i < RELAYS_MAX; i++)
+      if (relays[i] && relays[i]->listener == l)
+        close_relay (&relays[i], true);
   if (kind == 1 || kind == 2)
-    l->hold[0] = true;
+    l->blocked[0] = true;
   if (kind == 1 || kind == 3)
-    l->hold[1] = true;
+    l->blocked[1] = true;
   if (kind == 4)
-    l->delay_ms = (int)draw (DELAY_MAX_MS);
+    l->delay_ms = (int)random_below (DELAY_MAX_MS);
   if (kind > 0)
-    l->until = now_ms () + ms;
+    l->fault_until = now_ms () + ms;
   pthread_mutex_unlock (&lock);
-  note ("link %u to %s:%u kind %u for %u ms", n, l->to, l->port, kind, ms);
+  log_event ("link %u to %s:%u kind %u for %u ms", n, l->dest_ip, l->dest_port,
+             kind, ms);
 }
 
 void
@@ -256,6 +260,6 @@
 {
   pthread_mutex_lock (&lock);
   for (size_t i = 0; i < listener_count; i++)
-    listeners[i].until = 1;
+    listeners[i].fault_until = 1;
   pthread_mutex_unlock (&lock);
 }
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -19,18 +19,18 @@
 #include <time.h>
 #include <unistd.h>
 
-#define SECONDS 25
-#define START_MS 20000
-#define CALM_MS 12000
-#define LAST_MS 4000
-#define FAULT_GAP_MS 1200
-#define SLOTS 200
-
-static uint64_t seed;
-static unsigned faults;
-static int64_t started;
-static FILE *record;
-static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
+#define FAULT_SECONDS_DEFAULT 25
+#define START_TIMEOUT_MS 20000
+#define RECOVERY_MS 12000
+#define FINAL_WINDOW_MS 4000
+#define FAULT_GAP_MAX_MS 1200
+#define SUBNETS 200
+
+static uint64_t random_state;
+static unsigned violations;
+static int64_t started_at;
+static FILE *event_log;
+static pthread_mutex_t log_lock = PTHREAD_MUTEX_INITIALIZER;
 
 int64_t
 now_ms (void)
@@ -42,70 +42,70 @@
 }
 
 void
-draw_seed (uint64_t from)
+random_seed (uint64_t seed)
 {
-  seed = from * UINT64_C (0x9E3779B97F4A7C15) + 1;
+  random_state = seed * UINT64_C (0x9E3779B97F4A7C15) + 1;
 }
 
 unsigned
-draw (unsigned bound)
+random_below (unsigned bound)
 {
-  seed ^= seed << 13;
-  seed ^= seed >> 7;
-  seed ^= seed << 17;
-  return (unsigned)((seed >> 11) % bound);
+  random_state ^= random_state << 13;
+  random_state ^= random_state >> 7;
+  random_state ^= random_state << 17;
+  return (unsigned)((random_state >> 11) % bound);
 }
 
 static void
-write_record (const char *kind, const char *format, va_list args)
+write_event (const char *kind, const char *format, va_list args)
 {
   struct timespec t;
   struct tm day;
 
   clock_gettime (CLOCK_REALTIME, &t);
   gmtime_r (&t.tv_sec, &day);
-  fprintf (record, "%02d:%02d:%02d.%03ld %s", day.tm_hour, day.tm_min,
+  fprintf (event_log, "%02d:%02d:%02d.%03ld %s", day.tm_hour, day.tm_min,
            day.tm_sec, t.tv_nsec / 1000000, kind);
-  vfprintf (record, format, args);
-  fputc ('\n', record);
-  fflush (record);
+  vfprintf (event_log, format, args);
+  fputc ('\n', event_log);
+  fflush (event_log);
 }
 
 void
-fault_found (const char *format, ...)
+report_violation (const char *format, ...)
 {
   va_list args;
 
-  pthread_mutex_lock (&lock);
-  faults++;
+  pthread_mutex_lock (&log_lock);
+  violations++;
   va_start (args, format);
-  write_record ("BROKEN ", format, args);
+  write_event ("BROKEN ", format, args);
   va_end (args);
   va_start (args, format);
-  printf ("%6.2f s ", (double)(now_ms () - started) / 1000);
+  printf ("%6.2f s ", (double)(now_ms () - started_at) / 1000);
   vprintf (format, args);
   putchar ('\n');
   fflush (stdout);
   va_end (args);
-  pthread_mutex_unlock (&lock);
+  pthread_mutex_unlock (&log_lock);
 }
 
 unsigned
-faults_found (void)
+violation_count (void)
 {
-  return faults;
+  return violations;
 }
 
 void
-note (const char *format, ...)
+log_event (const char *format, ...)
 {
   va_list args;
 
-  pthread_mutex_lock (&lock);
+  pthread_mutex_lock (&log_lock);
   va_start (args, format);
-  write_record ("", format, args);
+  write_event ("", format, args);
   va_end (args);
-  pthread_mutex_unlock (&lock);
+  pthread_mutex_unlock (&log_lock);
 }
 
 static void
@@ -119,11 +119,11 @@
       callers_tick (5);
       if (!with_faults || now_ms () < fault_at)
         continue;
-      if (draw (2))
-        proxy_fault ();
+      if (random_below (2))
+        proxy_inject_fault ();
       else
-        fleet_fault ();
-      fault_at = now_ms () + draw (FAULT_GAP_MS);
+        fleet_inject_fault ();
+      fault_at = now_ms () + random_below (FAULT_GAP_MAX_MS);
     }
 }
 
@@ -131,7 +131,7 @@
 static bool
 wait_for_service (void)
 {
-  int64_t until = now_ms () + START_MS;
+  int64_t until = now_ms () + START_TIMEOUT_MS;
 
   while (now_ms () < until && callers_served () == 0)
     run_until (now_ms () + 100, false);
@@ -141,31 +141,32 @@
 static void
 run_faults (int seconds)
 {
-  unsigned count;
+  unsigned served;
 
-  note ("faults begin");
+  log_event ("faults begin");
   run_until (now_ms () + seconds * 1000, true);
   proxy_heal ();
   fleet_heal ();
-  operator_calm ();
-  note ("calm");
-  run_until (now_ms () + CALM_MS, false);
+  operator_stop_changes ();
+  log_event ("calm");
+  run_until (now_ms () + RECOVERY_MS, false);
   callers_served ();
-  run_until (now_ms () + LAST_MS, false);
-  count = callers_served ();
-  if (count < CALLERS * 2)
-    fault_found ("%u statements served in the last %d ms", count, LAST_MS);
+  run_until (now_ms () + FINAL_WINDOW_MS, false);
+  served = callers_served ();
+  if (served < CALLERS * 2)
+    report_violation ("%u statements served in the last %d ms", served,
+                      FINAL_WINDOW_MS);
 }
 
 int
 main (int argc, char **argv)
 {
-  uint64_t number = argc > 1 ? strtoull (argv[1], NULL, 10) : 0;
-  int seconds = argc > 2 ? atoi (argv[2]) : SECONDS;
+  uint64_t run_seed = argc > 1 ? strtoull (argv[1], NULL, 10) : 0;
+  int seconds = argc > 2 ? atoi (argv[2]) : FAULT_SECONDS_DEFAULT;
   char folder[PATH_BYTES];
   char path[PATH_BYTES + 16];
 
-  if (number == 0)
+  if (run_seed == 0)
     {
       fputs ("usage: soak SEED [SECONDS [FOLDER]]\n", stderr);
       return 2;
@@ -180,22 +181,22 @@
     return 2;
   mkdir (folder, 0755);
   snprintf (path, sizeof path, "%s/soak.log", folder);
-  record = fopen (path, "a");
-  if (!record)
+  event_log = fopen (path, "a");
+  if (!event_log)
     return 2;
-  started = now_ms ();
-  draw_seed (number);
-  fleet_start (folder, 10 + (unsigned)((uint64_t)getpid () % SLOTS));
+  started_at = now_ms ();
+  random_seed (run_seed);
+  fleet_start (folder, 10 + (unsigned)((uint64_t)getpid () % SUBNETS));
   proxy_start ();
   operator_start ();
   callers_start ();
   if (wait_for_service ())
     run_faults (seconds);
   else
-    fault_found ("nothing is served after the start");
+    report_violation ("nothing is served after the start");
   callers_check ();
   fleet_stop ();
   printf ("soak seed %llu: %u broken, logs in %s\n",
-          (unsigned long long)number, faults, folder);
-  return faults > 0;
+          (unsigned long long)run_seed, violations, folder);
+  return violations > 0;
 }
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -17,10 +17,10 @@
 #define FRONTS 3
 #define INSTANCES 3
 #define CALLERS 15
-#define TEXT 512
+#define LINE_BYTES 512
 #define PATH_BYTES 256
 #define REVOKE_MS 3000
-#define APPLY_MS 3000
+#define CONFIG_APPLY_MS 3000
 
 /* Ports; every process has an address of its own. */
 #define PORT_CONTROL 25000
@@ -35,23 +35,24 @@
 int64_t now_ms (void);
 
 /** draw() - a number below a bound, from the seed of the run */
-unsigned draw (unsigned bound);
+unsigned random_below (unsigned bound);
 
 /** draw_seed() - sets the seed */
-void draw_seed (uint64_t seed);
+void random_seed (uint64_t seed);
 
 /** fault_found() - notes a broken promise; the run goes on */
-void fault_found (const char *format, ...)
+void report_violation (const char *format, ...)
     __attribute__ ((format (printf, 1, 2)));
 
 /** faults_found() - number of broken promises */
-unsigned faults_found (void);
+unsigned violation_count (void);
 
 /** note() - a line in the run's record of faults and changes */
-void note (const char *format, ...) __attribute__ ((format (printf, 1, 2)));
+void log_event (const char *format, ...)
+    __attribute__ ((format (printf, 1, 2)));
 
 /** address_of() - "127.S.0.N" of one of the run's addresses */
-const char *address_of (unsigned n);
+const char *loopback_address (unsigned n);
 
 /* Last numbers of addresses. */
 #define ADDRESS_CORE 11
@@ -61,7 +62,7 @@
 #define ADDRESS_CALLERS 51
 
 /** fleet_start() - starts the group and all hosts; @folder holds all files */
-void fleet_start (const char *folder, unsigned slot);
+void fleet_start (const char *folder, unsigned subnet);
 
 /** fleet_stop() - ends all processes, by their ids */
 void fleet_stop (void);
@@ -73,22 +74,22 @@
 void fleet_heal (void);
 
 /** fleet_fault() - stops, pauses, kills or empties hosts, or an instance */
-void fleet_fault (void);
+void fleet_inject_fault (void);
 
 /** fleet_leaving() - whether an instance announces that it leaves */
-bool fleet_leaving (unsigned instance);
+bool fleet_is_draining (unsigned instance);
 
 /** fleet_born() - start of an instance's present life, Unix milliseconds */
-int64_t fleet_born (unsigned instance);
+int64_t fleet_incarnation (unsigned instance);
 
 /** fleet_dump() - the group's log: calls @each for each commit, in order */
-bool fleet_dump (void (*each) (const char *item, const char *data));
+bool fleet_read_commits (void (*each) (const char *item, const char *data));
 
 /** proxy_start() - opens all forwarders, in a thread of their own */
 void proxy_start (void);
 
 /** proxy_fault() - holds, delays or resets the connections of one */
-void proxy_fault (void);
+void proxy_inject_fault (void);
 
 /** proxy_heal() - lets everything pass */
 void proxy_heal (void);
@@ -97,11 +98,11 @@
 void operator_start (void);
 
 /** operator_calm() - no further change; restores all keys */
-void operator_calm (void);
+void operator_stop_changes (void);
 
 /** operator_withdrawn() - since when the guests' key no longer counts, 0
  * while it does */
-int64_t operator_withdrawn (void);
+int64_t operator_key_revoked_at (void);
 
 /** callers_start() - sessions of callers; callers_tick() drives them */
 void callers_start (void);
