--- a/tests/standin/group.c
+++ b/tests/standin/group.c
@@ -30,28 +30,28 @@
 #define INSTANCES 3
 #define CONNECTIONS 256
 #define COMMITS_MAX 65536
-#define OWNER 32
-#define TEXT 256
-#define BUFFER 4096
+#define OWNER_BYTES 32
+#define LINE_BYTES 256
+#define BUFFER_BYTES 4096
 
-struct item
+struct log_entry
 {
-  char name[64];
+  char item[64];
   char data[64];
-  uint64_t number;
+  uint64_t commit_number;
 };
 
 /* What orders on standard input may say. */
 enum
 {
-  ORDER_MAX = 64
+  COMMAND_BYTES = 64
 };
 
 struct instance
 {
   int fd;
   bool up;
-  bool deaf;
+  bool replication_cut;
   bool paused;
   uint64_t term;
   uint64_t received;
@@ -60,55 +60,55 @@
 struct connection
 {
   int fd;
-  int at;
+  int instance;
   bool started;
   char state;
-  uint64_t waits_for;
-  char owner[OWNER];
+  uint64_t awaited_commit;
+  char owner[OWNER_BYTES];
   bool read_only;
-  struct item written[16];
-  size_t written_count;
-  char shapes[16][TEXT];
-  size_t shape_count;
-  char in[BUFFER];
-  size_t len;
+  struct log_entry tx_writes[16];
+  size_t tx_write_count;
+  char prepared[16][LINE_BYTES];
+  size_t prepared_count;
+  char input[BUFFER_BYTES];
+  size_t input_len;
 };
 
 static const char *service;
 static struct instance instances[INSTANCES];
 static struct connection connections[CONNECTIONS];
-static struct item items[COMMITS_MAX];
-static size_t item_count;
+static struct log_entry log_entries[COMMITS_MAX];
+static size_t log_length;
 static const char *const *ports;
 static const char *address = "127.0.0.1";
 static int primary;
 static uint64_t term = 1;
-static uint64_t number;
-static uint64_t proofs;
-static int promotion;
-static uint64_t newest_fence;
-static volatile sig_atomic_t kill_primary;
+static uint64_t last_commit;
+static uint64_t proof_count;
+static int promotion_fd;
+static uint64_t highest_fence;
+static volatile sig_atomic_t stop_primary;
 /* Whether orders come on standard input. */
-static bool orders;
+static bool has_commands;
 
 static void
-on_signal (int sig)
+on_sigusr1 (int sig)
 {
   (void)sig;
-  kill_primary = 1;
+  stop_primary = 1;
 }
 
 static int
 listen_on (const char *port)
 {
-  struct sockaddr_in at = { .sin_family = AF_INET };
+  struct sockaddr_in sa = { .sin_family = AF_INET };
   int on = 1;
   int fd = socket (AF_INET, SOCK_STREAM, 0);
 
-  at.sin_port = htons ((uint16_t)atoi (port));
-  inet_pton (AF_INET, address, &at.sin_addr);
+  sa.sin_port = htons ((uint16_t)atoi (port));
+  inet_pton (AF_INET, address, &sa.sin_addr);
   setsockopt (fd, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-  if (bind (fd, (struct sockaddr *)&at, sizeof at) != 0
+  if (bind (fd, (struct sockaddr *)&sa, sizeof sa) != 0
       || listen (fd, 64) != 0)
     {
       perror ("group: listen");
@@ -118,44 +118,45 @@
 }
 
 static void
-say (const struct connection *c, const char *text)
+send_text (const struct connection *c, const char *text)
 {
   if (send (c->fd, text, strlen (text), MSG_NOSIGNAL) < 0)
     return;
 }
 
 static void
-say_ready (const struct connection *c)
+send_ready (const struct connection *c)
 {
-  const struct instance *in = &instances[c->at];
-  char line[TEXT];
+  const struct instance *in = &instances[c->instance];
+  char line[LINE_BYTES];
 
   snprintf (line, sizeof line, "READY %c %" PRIu64 ".%" PRIu64 "\r\n",
             c->state, in->term, in->received);
-  say (c, line);
+  send_text (c, line);
 }
 
 static void
-say_done (const struct connection *c, bool work)
+send_complete (const struct connection *c, bool with_proof)
 {
-  char line[TEXT];
+  char line[LINE_BYTES];
 
-  if (work)
-    snprintf (line, sizeof line, "COMPLETE mac.%" PRIu64 "\r\n", ++proofs);
+  if (with_proof)
+    snprintf (line, sizeof line, "COMPLETE mac.%" PRIu64 "\r\n",
+              ++proof_count);
   else
     snprintf (line, sizeof line, "COMPLETE -\r\n");
-  say (c, line);
-  say_ready (c);
+  send_text (c, line);
+  send_ready (c);
 }
 
 static void
-say_error (const struct connection *c, const char *code)
+send_error (const struct connection *c, const char *code)
 {
-  char line[TEXT];
+  char line[LINE_BYTES];
 
-  snprintf (line, sizeof line, "ERROR %s t%d\r\n", code, c->at + 1);
-  say (c, line);
-  say_ready (c);
+  snprintf (line, sizeof line, "ERROR %s t%d\r\n", code, c->instance + 1);
+  send_text (c, line);
+  send_ready (c);
 }
 
 static void
@@ -163,27 +164,29 @@
 {
   for (int i = 0; i < INSTANCES; i++)
     if (primary >= 0 && instances[i].up
-        && (i == primary || (!instances[i].paused && !instances[i].deaf)))
+        && (i == primary
+            || (!instances[i].paused && !instances[i].replication_cut)))
       {
-        instances[i].received = number;
+        instances[i].received = last_commit;
         instances[i].term = term;
       }
 }
 
 static void
-store (const struct item *in)
+append_entry (const struct log_entry *in)
 {
-  if (item_count == COMMITS_MAX)
+  if (log_length == COMMITS_MAX)
     return;
-  items[item_count] = *in;
-  items[item_count++].number = number;
+  log_entries[log_length] = *in;
+  log_entries[log_length++].commit_number = last_commit;
 }
 
 static bool
-is_replicated (uint64_t at)
+is_replicated (uint64_t commit_number)
 {
   for (int i = 0; i < INSTANCES; i++)
-    if (i != primary && instances[i].up && instances[i].received >= at)
+    if (i != primary && instances[i].up
+        && instances[i].received >= commit_number)
       return true;
   return false;
 }
@@ -193,107 +196,107 @@
 static bool
 commit (struct connection *c)
 {
-  if (!c->written_count)
+  if (!c->tx_write_count)
     return true;
-  number++;
-  for (size_t i = 0; i < c->written_count; i++)
-    store (&c->written[i]);
-  c->written_count = 0;
+  last_commit++;
+  for (size_t i = 0; i < c->tx_write_count; i++)
+    append_entry (&c->tx_writes[i]);
+  c->tx_write_count = 0;
   replicate ();
-  c->waits_for = is_replicated (number) ? 0 : number;
-  return c->waits_for == 0;
+  c->awaited_commit = is_replicated (last_commit) ? 0 : last_commit;
+  return c->awaited_commit == 0;
 }
 
 static void
-answer_waiting (void)
+complete_waiting_commits (void)
 {
   for (int i = 0; i < CONNECTIONS; i++)
-    if (connections[i].fd >= 0 && connections[i].waits_for
-        && is_replicated (connections[i].waits_for))
+    if (connections[i].fd >= 0 && connections[i].awaited_commit
+        && is_replicated (connections[i].awaited_commit))
       {
-        connections[i].waits_for = 0;
-        say_done (&connections[i], true);
+        connections[i].awaited_commit = 0;
+        send_complete (&connections[i], true);
       }
 }
 
 /* The new primary leads with what it has; later commits are gone. */
 static void
-cut_log (uint64_t to)
+truncate_log (uint64_t to)
 {
-  while (item_count && items[item_count - 1].number > to)
-    item_count--;
-  number = to;
+  while (log_length && log_entries[log_length - 1].commit_number > to)
+    log_length--;
+  last_commit = to;
   for (int i = 0; i < INSTANCES; i++)
     if (instances[i].received > to)
       instances[i].received = to;
   for (int i = 0; i < CONNECTIONS; i++)
-    if (connections[i].waits_for > to)
+    if (connections[i].awaited_commit > to)
       shutdown (connections[i].fd, SHUT_RDWR);
 }
 
 static void
 read_item (const struct connection *c, const char *name)
 {
-  char line[TEXT];
+  char line[LINE_BYTES];
 
-  for (size_t i = item_count; i > 0; i--)
-    if (strcmp (items[i - 1].name, name) == 0
-        && items[i - 1].number <= instances[c->at].received)
+  for (size_t i = log_length; i > 0; i--)
+    if (strcmp (log_entries[i - 1].item, name) == 0
+        && log_entries[i - 1].commit_number <= instances[c->instance].received)
       {
-        snprintf (line, sizeof line, "ROW %s\r\n", items[i - 1].data);
-        say (c, line);
+        snprintf (line, sizeof line, "ROW %s\r\n", log_entries[i - 1].data);
+        send_text (c, line);
         break;
       }
-  say_done (c, true);
+  send_complete (c, true);
 }
 
 static void
-write_item (struct connection *c, char *rest)
+write_item (struct connection *c, char *args)
 {
-  struct item *w = &c->written[c->written_count % 16];
-  char *data = strchr (rest, ' ');
+  struct log_entry *w = &c->tx_writes[c->tx_write_count % 16];
+  char *data = strchr (args, ' ');
 
-  if (c->at != primary || c->read_only || !data)
+  if (c->instance != primary || c->read_only || !data)
     {
       if (c->state == 'T')
         c->state = 'E';
-      say_error (c, "READONLY");
+      send_error (c, "READONLY");
       return;
     }
   *data++ = '\0';
-  snprintf (w->name, sizeof w->name, "%s", rest);
+  snprintf (w->item, sizeof w->item, "%s", args);
   snprintf (w->data, sizeof w->data, "%s", data);
-  c->written_count++;
+  c->tx_write_count++;
   if (c->state != 'I' || commit (c))
-    say_done (c, true);
+    send_complete (c, true);
 }
 
 static void
-begin (struct connection *c, bool read_only)
+begin_transaction (struct connection *c, bool read_only)
 {
-  if (!read_only && c->at != primary)
+  if (!read_only && c->instance != primary)
     {
-      say_error (c, "READONLY");
+      send_error (c, "READONLY");
       return;
     }
   c->state = 'T';
   c->read_only = read_only;
-  c->written_count = 0;
-  say_done (c, false);
+  c->tx_write_count = 0;
+  send_complete (c, false);
 }
 
 static void
-say_status (const struct connection *c)
+send_status (const struct connection *c)
 {
-  const struct instance *in = &instances[c->at];
-  char line[TEXT];
+  const struct instance *in = &instances[c->instance];
+  char line[LINE_BYTES];
 
   snprintf (line, sizeof line,
             "ROW %s %" PRIu64 " %" PRIu64 ".%" PRIu64 " 0 0 0 1\r\n",
-            c->at == primary ? "primary" : "replica", in->term, in->term,
+            c->instance == primary ? "primary" : "replica", in->term, in->term,
             in->received);
-  say (c, line);
-  say_done (c, false);
+  send_text (c, line);
+  send_complete (c, false);
 }
 
 /* Whether the instance's log has a position "TERM.NUMBER". */
@@ -303,61 +306,61 @@
   uint64_t t = strtoull (text, NULL, 10);
   const char *dot = strchr (text, '.');
   uint64_t n = dot ? strtoull (dot + 1, NULL, 10) : 0;
-  const struct instance *in = &instances[c->at];
+  const struct instance *in = &instances[c->instance];
 
   return in->term > t || (in->term == t && in->received >= n);
 }
 
 static void
-execute (struct connection *c, char *rest)
+execute (struct connection *c, char *args)
 {
-  char *item = strchr (rest, ' ');
-  size_t len = item ? (size_t)(item - rest) : strlen (rest);
+  char *item = strchr (args, ' ');
+  size_t len = item ? (size_t)(item - args) : strlen (args);
 
-  for (size_t i = 0; item && i < c->shape_count; i++)
-    if (strncmp (c->shapes[i], rest, len) == 0 && c->shapes[i][len] == ' ')
+  for (size_t i = 0; item && i < c->prepared_count; i++)
+    if (strncmp (c->prepared[i], args, len) == 0 && c->prepared[i][len] == ' ')
       {
-        if (strncmp (c->shapes[i] + len + 1, "WRITE", 5) == 0)
+        if (strncmp (c->prepared[i] + len + 1, "WRITE", 5) == 0)
           write_item (c, item + 1);
         else
           read_item (c, item + 1);
         return;
       }
-  say_error (c, "NOSTMT");
+  send_error (c, "NOSTMT");
 }
 
 static void
-run_text (struct connection *c, char *text)
+run_statement (struct connection *c, char *text)
 {
   if (strncmp (text, "AFTER ", 6) == 0)
     {
-      char *rest = strchr (text + 6, ' ');
+      char *args = strchr (text + 6, ' ');
 
-      if (!rest || !has_position (c, text + 6))
+      if (!args || !has_position (c, text + 6))
         {
-          say_error (c, "LAGGING");
+          send_error (c, "LAGGING");
           return;
         }
-      text = rest + 1;
+      text = args + 1;
     }
   if (strcmp (text, "BEGIN") == 0 || strcmp (text, "BEGIN READ") == 0)
-    begin (c, text[5] == ' ');
-  else if (c->state == 'T' && !c->read_only && c->at != primary)
+    begin_transaction (c, text[5] == ' ');
+  else if (c->state == 'T' && !c->read_only && c->instance != primary)
     {
       c->state = 'E';
-      say_error (c, "READONLY");
+      send_error (c, "READONLY");
     }
   else if (strcmp (text, "COMMIT") == 0)
     {
       c->state = 'I';
       if (commit (c))
-        say_done (c, true);
+        send_complete (c, true);
     }
   else if (strcmp (text, "ROLLBACK") == 0)
     {
-      c->written_count = 0;
+      c->tx_write_count = 0;
       c->state = 'I';
-      say_done (c, false);
+      send_complete (c, false);
     }
   else if (strncmp (text, "READ ", 5) == 0)
     read_item (c, text + 5);
@@ -365,26 +368,27 @@
     write_item (c, text + 6);
   else if (strncmp (text, "PREPARE ", 8) == 0)
     {
-      snprintf (c->shapes[c->shape_count++ % 16], TEXT, "%s", text + 8);
-      say_done (c, false);
+      snprintf (c->prepared[c->prepared_count++ % 16], LINE_BYTES, "%s",
+                text + 8);
+      send_complete (c, false);
     }
   else if (strncmp (text, "EXECUTE ", 8) == 0)
     execute (c, text + 8);
   else if (strncmp (text, "PAUSE", 5) == 0 || strcmp (text, "RESUME") == 0)
     {
-      instances[c->at].paused = text[0] == 'P' && c->at != primary;
-      say_status (c);
+      instances[c->instance].paused = text[0] == 'P' && c->instance != primary;
+      send_status (c);
     }
   else if (strncmp (text, "DEMOTE ", 7) == 0)
     {
-      if (c->at == primary && strtoull (text + 7, NULL, 10) > term)
+      if (c->instance == primary && strtoull (text + 7, NULL, 10) > term)
         primary = -1;
-      say_status (c);
+      send_status (c);
     }
   else if (strcmp (text, "STATUS") == 0)
-    say_status (c);
+    send_status (c);
   else
-    say_done (c, false);
+    send_complete (c, false);
 }
 
 /* Statements of two callers must not meet in one transaction. */
@@ -392,7 +396,7 @@
 check_owner (struct connection *c, const char *id)
 {
   size_t len = strcspn (id, "- ");
-  char owner[OWNER];
+  char owner[OWNER_BYTES];
 
   if (len == 0)
     return;
@@ -403,7 +407,7 @@
 }
 
 static void
-take_line (struct connection *c, char *line)
+handle_line (struct connection *c, char *line)
 {
   char name[64] = "";
   char id[64] = "";
@@ -412,25 +416,25 @@
 
   if (!c->started)
     {
-      snprintf (expected, sizeof expected, "t%d", c->at + 1);
+      snprintf (expected, sizeof expected, "t%d", c->instance + 1);
       if (sscanf (line, "STARTUP %63s %*s %63s", name, id) < 1
           || strcmp (name, service) != 0
           || (*id && strcmp (id, expected) != 0))
         {
-          say (c, "ERROR MISROUTED no\r\n");
+          send_text (c, "ERROR MISROUTED no\r\n");
           shutdown (c->fd, SHUT_RDWR);
           return;
         }
       c->started = true;
       c->state = 'I';
-      say_ready (c);
+      send_ready (c);
       return;
     }
   text = strncmp (line, "QUERY ", 6) == 0 ? strchr (line + 6, ' ') : NULL;
   if (!text)
     return;
   check_owner (c, line + 6);
-  run_text (c, text + 1);
+  run_statement (c, text + 1);
   if (c->state != 'T')
     *c->owner = '\0';
 }
@@ -446,7 +450,8 @@
 static void
 receive (struct connection *c)
 {
-  ssize_t got = recv (c->fd, c->in + c->len, sizeof c->in - c->len - 1, 0);
+  ssize_t got = recv (c->fd, c->input + c->input_len,
+                      sizeof c->input - c->input_len - 1, 0);
   char *end;
 
   if (got <= 0)
@@ -454,27 +459,27 @@
       close_connection (c);
       return;
     }
-  c->len += (size_t)got;
-  c->in[c->len] = '\0';
-  while ((end = strstr (c->in, "\r\n")))
+  c->input_len += (size_t)got;
+  c->input[c->input_len] = '\0';
+  while ((end = strstr (c->input, "\r\n")))
     {
       *end = '\0';
-      take_line (c, c->in);
-      c->len -= (size_t)(end + 2 - c->in);
-      memmove (c->in, end + 2, c->len + 1);
+      handle_line (c, c->input);
+      c->input_len -= (size_t)(end + 2 - c->input);
+      memmove (c->input, end + 2, c->input_len + 1);
     }
 }
 
 static void
-take_connection (int at)
+accept_connection (int instance)
 {
-  int fd = accept (instances[at].fd, NULL, NULL);
+  int fd = accept (instances[instance].fd, NULL, NULL);
 
   for (int i = 0; fd >= 0 && i < CONNECTIONS; i++)
     if (connections[i].fd < 0)
       {
         connections[i].fd = fd;
-        connections[i].at = at;
+        connections[i].instance = instance;
         return;
       }
   if (fd >= 0)
@@ -484,15 +489,15 @@
 /* One order on one connection: the fence is checked, the named instance
    leads the next term with what it has. */
 static void
-take_order (void)
+handle_promotion (void)
 {
-  char text[BUFFER] = "";
+  char text[BUFFER_BYTES] = "";
   size_t len = 0;
   const char *fence;
   const char *id;
   const char *answer = "HTTP/1.1 409 Conflict\r\nContent-Length: 0\r\n"
                        "Connection: close\r\n\r\n";
-  int fd = accept (promotion, NULL, NULL);
+  int fd = accept (promotion_fd, NULL, NULL);
   ssize_t got;
 
   while (!strstr (text, "}")
@@ -500,15 +505,15 @@
     len += (size_t)got;
   fence = strstr (text, "Fencing-Token: ");
   id = strstr (text, "\"id\":\"t");
-  if (fence && id && strtoull (fence + 15, NULL, 10) >= newest_fence
+  if (fence && id && strtoull (fence + 15, NULL, 10) >= highest_fence
       && instances[id[7] - '1'].up)
     {
-      newest_fence = strtoull (fence + 15, NULL, 10);
+      highest_fence = strtoull (fence + 15, NULL, 10);
       if (primary != id[7] - '1')
         {
           primary = id[7] - '1';
           term++;
-          cut_log (instances[primary].received);
+          truncate_log (instances[primary].received);
         }
       for (int i = 0; i < INSTANCES; i++)
         instances[i].paused = false;
@@ -524,9 +529,9 @@
 }
 
 static void
-stop_instance (int at)
+stop_instance (int index)
 {
-  struct instance *in = &instances[at];
+  struct instance *in = &instances[index];
 
   if (!in->up)
     return;
@@ -534,22 +539,22 @@
   close (in->fd);
   in->fd = -1;
   for (int i = 0; i < CONNECTIONS; i++)
-    if (connections[i].fd >= 0 && connections[i].at == at)
+    if (connections[i].fd >= 0 && connections[i].instance == index)
       close_connection (&connections[i]);
-  if (primary == at)
+  if (primary == index)
     primary = -1;
-  printf ("t%d stops\n", at + 1);
+  printf ("t%d stops\n", index + 1);
   fflush (stdout);
 }
 
 static void
-start_instance (int at)
+start_instance (int index)
 {
-  struct instance *in = &instances[at];
+  struct instance *in = &instances[index];
 
   if (in->up)
     return;
-  in->fd = listen_on (ports[at]);
+  in->fd = listen_on (ports[index]);
   in->up = true;
   in->paused = false;
 }
@@ -557,17 +562,17 @@
 static void
 dump_log (void)
 {
-  for (size_t i = 0; i < item_count; i++)
-    printf ("commit %" PRIu64 " %s %s\n", items[i].number, items[i].name,
-            items[i].data);
+  for (size_t i = 0; i < log_length; i++)
+    printf ("commit %" PRIu64 " %s %s\n", log_entries[i].commit_number,
+            log_entries[i].item, log_entries[i].data);
   printf ("end\n");
   fflush (stdout);
 }
 
 static void
-take_input (void)
+handle_commands (void)
 {
-  char text[ORDER_MAX * 8];
+  char text[COMMAND_BYTES * 8];
   ssize_t got = read (STDIN_FILENO, text, sizeof text - 1);
 
   if (got <= 0)
@@ -575,26 +580,27 @@
   text[got] = '\0';
   for (char *line = strtok (text, "\n"); line; line = strtok (NULL, "\n"))
     {
-      int at = 0;
+      int instance_number = 0;
 
       char word[8] = "";
 
-      sscanf (line, "%7s %d", word, &at);
+      sscanf (line, "%7s %d", word, &instance_number);
       if (strcmp (word, "dump") == 0)
         dump_log ();
-      else if (at < 1 || at > INSTANCES)
+      else if (instance_number < 1 || instance_number > INSTANCES)
         continue;
       else if (strcmp (word, "stop") == 0)
-        stop_instance (at - 1);
+        stop_instance (instance_number - 1);
       else if (strcmp (word, "start") == 0)
-        start_instance (at - 1);
+        start_instance (instance_number - 1);
       else
-        instances[at - 1].deaf = strcmp (word, "deaf") == 0;
+        instances[instance_number - 1].replication_cut
+            = strcmp (word, "deaf") == 0;
     }
 }
 
 static void
-turn (void)
+poll_once (void)
 {
   struct pollfd fds[CONNECTIONS + INSTANCES + 2];
 
@@ -602,23 +608,23 @@
     fds[i] = (struct pollfd){ connections[i].fd, POLLIN, 0 };
   for (int i = 0; i < INSTANCES; i++)
     fds[CONNECTIONS + i] = (struct pollfd){ instances[i].fd, POLLIN, 0 };
-  fds[CONNECTIONS + INSTANCES] = (struct pollfd){ promotion, POLLIN, 0 };
+  fds[CONNECTIONS + INSTANCES] = (struct pollfd){ promotion_fd, POLLIN, 0 };
   fds[CONNECTIONS + INSTANCES + 1]
-      = (struct pollfd){ orders ? STDIN_FILENO : -1, POLLIN, 0 };
+      = (struct pollfd){ has_commands ? STDIN_FILENO : -1, POLLIN, 0 };
   if (poll (fds, CONNECTIONS + INSTANCES + 2, 100) <= 0)
     return;
   if (fds[CONNECTIONS + INSTANCES + 1].revents)
-    take_input ();
+    handle_commands ();
   for (int i = 0; i < CONNECTIONS; i++)
     if (connections[i].fd >= 0 && fds[i].revents)
       receive (&connections[i]);
   for (int i = 0; i < INSTANCES; i++)
     if (fds[CONNECTIONS + i].revents & POLLIN)
-      take_connection (i);
+      accept_connection (i);
   if (fds[CONNECTIONS + INSTANCES].revents & POLLIN)
-    take_order ();
+    handle_promotion ();
   replicate ();
-  answer_waiting ();
+  complete_waiting_commits ();
 }
 
 int
@@ -633,10 +639,10 @@
     }
   service = argv[1];
   ports = (const char *const *)argv + 2;
-  orders = argc == 7;
-  if (orders)
+  has_commands = argc == 7;
+  if (has_commands)
     address = argv[6];
-  signal (SIGUSR1, on_signal);
+  signal (SIGUSR1, on_sigusr1);
   for (int i = 0; i < CONNECTIONS; i++)
     connections[i].fd = -1;
   for (int i = 0; i < INSTANCES; i++)
@@ -645,12 +651,12 @@
       instances[i].up = true;
       instances[i].term = 1;
     }
-  promotion = listen_on (argv[5]);
+  promotion_fd = listen_on (argv[5]);
   for (;;)
     {
-      if (kill_primary && primary >= 0)
+      if (stop_primary && primary >= 0)
         stop_instance (primary);
-      kill_primary = 0;
-      turn ();
+      stop_primary = 0;
+      poll_once ();
     }
 }
--- a/tests/standin/target.c
+++ b/tests/standin/target.c
@@ -22,16 +22,16 @@
 #include <time.h>
 #include <unistd.h>
 
-#define CONNS 256
-#define PEERS 8
-#define OPS 200000
-#define TERMS 64
-#define PENDING 64
+#define CONNS_MAX 256
+#define PEERS_MAX 8
+#define LOG_MAX 200000
+#define TERMS_MAX 64
+#define PENDING_MAX 64
 #define PROTOCOL_3 196608
 #define SSL_REQUEST 80877103
 #define PEER_REQUEST 80877199
-#define ANNOUNCE_US 300000
-#define FOLLOW_US 50000
+#define ANNOUNCE_INTERVAL_US 300000
+#define FOLLOW_INTERVAL_US 50000
 
 enum role
 {
@@ -42,10 +42,10 @@
   ANNOUNCER
 };
 
-struct op
+struct log_entry
 {
   char *text;
-  int64_t at;
+  int64_t appended_at;
   uint64_t term;
 };
 
@@ -53,38 +53,38 @@
 {
   enum role role;
   int fd;
-  bool started, closing, skip, in_tx, failed, read_only, busy;
-  int64_t ready_at, job_end;
+  bool started, closing, skip_to_sync, in_tx, failed, read_only, holds_slot;
+  int64_t due_at, busy_until;
   char *in, *out;
   size_t in_len, out_len;
   char sql[1024];
   char params[8][4096];
   bool null[8];
   int param_count;
-  char *pending[PENDING];
+  char *pending[PENDING_MAX];
   int pending_count;
-  uint64_t sent;
+  uint64_t next_to_send;
   int peer;
 };
 
-static struct conn conns[CONNS];
-static struct op ops[OPS];
-static uint64_t position, visible;
+static struct conn conns[CONNS_MAX];
+static struct log_entry log_entries[LOG_MAX];
+static uint64_t position, visible_position;
 static struct
 {
   uint64_t term, start;
-} terms[TERMS];
+} terms[TERMS_MAX];
 static int term_count;
-static bool leads, isolated, leaving, stopping;
-static int peer_ports[PEERS], peer_count, announce_ports[PEERS],
+static bool is_primary, isolated, leaving, stopping;
+static int peer_ports[PEERS_MAX], peer_count, announce_ports[PEERS_MAX],
     announce_count;
-static int upstream = -1, running_jobs;
+static int upstream = -1, busy_slots;
 static const char *name = "t1", *group = "orders", *zone = "a", *key = "";
-static int port = 5500, slots = 5, max_conns = 35, next_announce;
-static int record = -1;
+static int port = 5500, slots = 5, max_conns = 35, announce_index;
+static int record_fd = -1;
 static int64_t lag_us = 50000, service_us = 2000, connect_us = 12000;
-static char *seen[OPS];
-static size_t seen_count;
+static char *insert_attempts[LOG_MAX];
+static size_t insert_attempt_count;
 
 static int64_t
 now_us (void)
@@ -95,7 +95,7 @@
 }
 
 static void
-put (struct conn *c, const void *data, size_t len)
+append_output (struct conn *c, const void *data, size_t len)
 {
   c->out = realloc (c->out, c->out_len + len + 1);
   memcpy (c->out + c->out_len, data, len);
@@ -103,19 +103,19 @@
 }
 
 static void
-message (struct conn *c, char type, const void *body, size_t len)
+append_message (struct conn *c, char type, const void *body, size_t len)
 {
   uint32_t n = htonl ((uint32_t)len + 4);
-  put (c, &type, 1);
-  put (c, &n, 4);
-  put (c, body, len);
+  append_output (c, &type, 1);
+  append_output (c, &n, 4);
+  append_output (c, body, len);
 }
 
 static void
-drop (struct conn *c)
+close_conn (struct conn *c)
 {
-  if (c->busy)
-    running_jobs--;
+  if (c->holds_slot)
+    busy_slots--;
   if (c->role == UPSTREAM && upstream == (int)(c - conns))
     upstream = -1;
   close (c->fd);
@@ -130,7 +130,7 @@
 add_conn (int fd, enum role role)
 {
   int one = 1;
-  for (int i = 0; i < CONNS; i++)
+  for (int i = 0; i < CONNS_MAX; i++)
     if (conns[i].role == FREE)
       {
         memset (&conns[i], 0, sizeof conns[i]);
@@ -145,7 +145,7 @@
 }
 
 static struct conn *
-dial (int to, enum role role)
+connect_to (int to, enum role role)
 {
   struct sockaddr_in a = { .sin_family = AF_INET, .sin_port = htons (to) };
   int fd = socket (AF_INET, SOCK_STREAM | SOCK_NONBLOCK, 0);
@@ -160,7 +160,7 @@
 }
 
 static uint64_t
-term (void)
+current_term (void)
 {
   return term_count ? terms[term_count - 1].term : 0;
 }
@@ -168,7 +168,7 @@
 static void
 add_term (uint64_t t, uint64_t start)
 {
-  if (term_count == TERMS)
+  if (term_count == TERMS_MAX)
     memmove (terms, terms + 1, sizeof terms[0] * --term_count);
   terms[term_count].term = t;
   terms[term_count++].start = start;
@@ -176,18 +176,18 @@
 
 /* The last committed op whose text starts with @prefix, or NULL. */
 static const char *
-find_op (const char *prefix)
+find_committed (const char *prefix)
 {
-  for (uint64_t i = visible; i > 0; i--)
-    if (strncmp (ops[i - 1].text, prefix, strlen (prefix)) == 0)
-      return ops[i - 1].text;
+  for (uint64_t i = visible_position; i > 0; i--)
+    if (strncmp (log_entries[i - 1].text, prefix, strlen (prefix)) == 0)
+      return log_entries[i - 1].text;
   return NULL;
 }
 
 static bool
-pending_elsewhere (const struct conn *self, const char *prefix)
+is_locked_by_other (const struct conn *self, const char *prefix)
 {
-  for (int i = 0; i < CONNS; i++)
+  for (int i = 0; i < CONNS_MAX; i++)
     for (int j = 0; j < conns[i].pending_count; j++)
       if (&conns[i] != self
           && strncmp (conns[i].pending[j], prefix, strlen (prefix)) == 0)
@@ -196,35 +196,35 @@
 }
 
 static void
-commit_op (const char *text, uint64_t t)
+append_to_log (const char *text, uint64_t t)
 {
-  if (position == OPS)
+  if (position == LOG_MAX)
     exit (3);
-  ops[position].text = strdup (text);
-  ops[position].at = now_us ();
-  ops[position++].term = t;
+  log_entries[position].text = strdup (text);
+  log_entries[position].appended_at = now_us ();
+  log_entries[position++].term = t;
 }
 
 static void
-error_reply (struct conn *c, const char *state, const char *text)
+send_error (struct conn *c, const char *state, const char *text)
 {
   char body[256];
   int n = snprintf (body, sizeof body, "SERROR%cC%s%cM%s%c", 0, state, 0, text,
                     0);
-  message (c, 'E', body, (size_t)n + 1);
-  c->skip = true;
+  append_message (c, 'E', body, (size_t)n + 1);
+  c->skip_to_sync = true;
   if (c->in_tx)
     c->failed = true;
 }
 
 static void
-complete (struct conn *c, const char *tag)
+send_command_complete (struct conn *c, const char *tag)
 {
-  message (c, 'C', tag, strlen (tag) + 1);
+  append_message (c, 'C', tag, strlen (tag) + 1);
 }
 
 static void
-describe (struct conn *c, const char *columns)
+send_row_description (struct conn *c, const char *columns)
 {
   char body[512];
   size_t len = 2;
@@ -240,11 +240,11 @@
     }
   body[0] = 0;
   body[1] = (char)count;
-  message (c, 'T', body, len);
+  append_message (c, 'T', body, len);
 }
 
 static void
-row (struct conn *c, int count, const char **values)
+send_data_row (struct conn *c, int count, const char **values)
 {
   char body[9000] = { 0, (char)count };
   size_t len = 2;
@@ -255,7 +255,7 @@
       memcpy (body + len + 4, values[i], strlen (values[i]));
       len += 4 + strlen (values[i]);
     }
-  message (c, 'D', body, len);
+  append_message (c, 'D', body, len);
 }
 
 static bool
@@ -268,15 +268,15 @@
 run_position (struct conn *c)
 {
   char a[24], b[24], s[24];
-  const char *v[] = { a, b, s, leads ? "t" : "f" };
-  snprintf (a, sizeof a, "%llu", (unsigned long long)term ());
-  snprintf (b, sizeof b, "%llu", (unsigned long long)visible);
+  const char *v[] = { a, b, s, is_primary ? "t" : "f" };
+  snprintf (a, sizeof a, "%llu", (unsigned long long)current_term ());
+  snprintf (b, sizeof b, "%llu", (unsigned long long)visible_position);
   snprintf (
       s, sizeof s, "%llu",
       (unsigned long long)(term_count ? terms[term_count - 1].start : 0));
-  describe (c, "term,position,start,leads");
-  row (c, 4, v);
-  complete (c, "SELECT 1");
+  send_row_description (c, "term,position,start,leads");
+  send_data_row (c, 4, v);
+  send_command_complete (c, "SELECT 1");
 }
 
 static void
@@ -284,45 +284,45 @@
 {
   uint64_t t = strtoull (c->params[0], NULL, 10);
   const char *v[] = { "t" };
-  if (t < term () || (t == term () && !leads))
+  if (t < current_term () || (t == current_term () && !is_primary))
     {
-      error_reply (c, "55000", "the term is superseded");
+      send_error (c, "55000", "the term is superseded");
       return;
     }
-  if (t > term ())
+  if (t > current_term ())
     add_term (t, position);
-  visible = position;
-  leads = true;
+  visible_position = position;
+  is_primary = true;
   fprintf (stderr, "target: %s: leads in term %llu from %llu\n", name,
            (unsigned long long)t, (unsigned long long)position);
-  describe (c, "promote");
-  row (c, 1, v);
-  complete (c, "SELECT 1");
+  send_row_description (c, "promote");
+  send_data_row (c, 1, v);
+  send_command_complete (c, "SELECT 1");
 }
 
 static bool
 add_pending (struct conn *c, const char *text)
 {
-  if (c->pending_count == PENDING)
+  if (c->pending_count == PENDING_MAX)
     return false;
   c->pending[c->pending_count++] = strdup (text);
   return true;
 }
 
 static void
-run_insert (struct conn *c, const char *prefix, const char *text,
-            const char *tag)
+run_write (struct conn *c, const char *prefix, const char *text,
+           const char *tag)
 {
-  if (c->read_only || !leads)
-    error_reply (c, "25006", "cannot write in a read-only transaction");
-  else if (prefix && find_op (prefix))
-    error_reply (c, "23505", "duplicate key");
-  else if (prefix && pending_elsewhere (c, prefix))
-    error_reply (c, "55P03", "the row is locked");
+  if (c->read_only || !is_primary)
+    send_error (c, "25006", "cannot write in a read-only transaction");
+  else if (prefix && find_committed (prefix))
+    send_error (c, "23505", "duplicate key");
+  else if (prefix && is_locked_by_other (c, prefix))
+    send_error (c, "55P03", "the row is locked");
   else if (!c->in_tx || !add_pending (c, text))
-    error_reply (c, "25P01", "no transaction");
+    send_error (c, "25P01", "no transaction");
   else
-    complete (c, tag);
+    send_command_complete (c, tag);
 }
 
 static void
@@ -333,7 +333,7 @@
     {
       snprintf (text, sizeof text, "R %s %s %s", c->params[0], c->params[1],
                 c->params[2]);
-      run_insert (c, NULL, text, "UPDATE 1");
+      run_write (c, NULL, text, "UPDATE 1");
       return;
     }
   snprintf (prefix, sizeof prefix, "K %.200s %.200s ", c->params[0],
@@ -341,20 +341,20 @@
   if (sql_is (c, "INSERT"))
     {
       snprintf (text, sizeof text, "%s%s", prefix, c->params[2]);
-      run_insert (c, prefix, text, "INSERT 0 1");
+      run_write (c, prefix, text, "INSERT 0 1");
       return;
     }
-  const char *k = find_op (prefix);
+  const char *k = find_committed (prefix);
   size_t skip = strlen (prefix);
-  describe (c, "request,result");
+  send_row_description (c, "request,result");
   prefix[0] = 'R';
-  const char *r = find_op (prefix);
+  const char *r = find_committed (prefix);
   if (k && r)
     {
       const char *v[] = { k + skip, r + skip };
-      row (c, 2, v);
+      send_data_row (c, 2, v);
     }
-  complete (c, "SELECT 1");
+  send_command_complete (c, "SELECT 1");
 }
 
 static void
@@ -366,44 +366,45 @@
       snprintf (prefix, sizeof prefix, "O %.200s ", c->params[0]);
       snprintf (text, sizeof text, "%s%.60s %.60s %.30s", prefix, c->params[1],
                 c->params[2], c->params[3]);
-      if (seen_count < OPS)
-        seen[seen_count++] = strdup (c->params[0]);
-      run_insert (c, prefix, text, "INSERT 0 1");
+      if (insert_attempt_count < LOG_MAX)
+        insert_attempts[insert_attempt_count++] = strdup (c->params[0]);
+      run_write (c, prefix, text, "INSERT 0 1");
       return;
     }
   if (sql_is (c, "SELECT seen"))
     {
       int n = 0;
-      for (size_t i = 0; i < seen_count; i++)
-        n += strcmp (seen[i], c->params[0]) == 0;
+      for (size_t i = 0; i < insert_attempt_count; i++)
+        n += strcmp (insert_attempts[i], c->params[0]) == 0;
       snprintf (text, sizeof text, "%d", n);
       const char *v[] = { text };
-      describe (c, "seen");
-      row (c, 1, v);
-      complete (c, "SELECT 1");
+      send_row_description (c, "seen");
+      send_data_row (c, 1, v);
+      send_command_complete (c, "SELECT 1");
       return;
     }
   bool count = sql_is (c, "SELECT count");
   int found = 0;
-  describe (c, count ? "count" : "id,team,item,qty");
-  for (uint64_t i = 0; i < visible; i++)
+  send_row_description (c, count ? "count" : "id,team,item,qty");
+  for (uint64_t i = 0; i < visible_position; i++)
     {
-      if (sscanf (ops[i].text, "O %127s %63s %63s %31s", id, team, item, qty)
+      if (sscanf (log_entries[i].text, "O %127s %63s %63s %31s", id, team,
+                  item, qty)
               != 4
           || (c->param_count && strcmp (id, c->params[0]) != 0))
         continue;
       found++;
       const char *v[] = { id, team, item, qty };
-      if (!count && (c->param_count || visible - i < 200))
-        row (c, 4, v);
+      if (!count && (c->param_count || visible_position - i < 200))
+        send_data_row (c, 4, v);
     }
   if (count)
     {
       snprintf (text, sizeof text, "%d", found);
       const char *v[] = { text };
-      row (c, 1, v);
+      send_data_row (c, 1, v);
     }
-  complete (c, "SELECT 1");
+  send_command_complete (c, "SELECT 1");
 }
 
 static void
@@ -414,35 +415,35 @@
   if (sql_is (c, "UPDATE"))
     {
       snprintf (text, sizeof text, "%s%.30s", prefix, c->params[1]);
-      run_insert (c, NULL, text, "UPDATE 1");
+      run_write (c, NULL, text, "UPDATE 1");
       return;
     }
-  const char *op = find_op (prefix);
-  const char *v[] = { op ? op + strlen (prefix) : "0" };
-  describe (c, "qty");
-  row (c, 1, v);
-  complete (c, "SELECT 1");
+  const char *entry = find_committed (prefix);
+  const char *v[] = { entry ? entry + strlen (prefix) : "0" };
+  send_row_description (c, "qty");
+  send_data_row (c, 1, v);
+  send_command_complete (c, "SELECT 1");
 }
 
 static void
 end_tx (struct conn *c, bool commit)
 {
-  bool lost = commit && c->pending_count && !leads;
+  bool lost = commit && c->pending_count && !is_primary;
   bool rolled_back = !commit || c->failed;
   for (int i = 0; i < c->pending_count; i++)
     {
       if (!rolled_back && !lost)
-        commit_op (c->pending[i], term ());
+        append_to_log (c->pending[i], current_term ());
       free (c->pending[i]);
     }
   c->pending_count = 0;
-  if (leads)
-    visible = position;
+  if (is_primary)
+    visible_position = position;
   c->in_tx = c->failed = c->read_only = false;
   if (lost)
-    error_reply (c, "25006", "no longer the primary");
+    send_error (c, "25006", "no longer the primary");
   else
-    complete (c, rolled_back ? "ROLLBACK" : "COMMIT");
+    send_command_complete (c, rolled_back ? "ROLLBACK" : "COMMIT");
 }
 
 static void
@@ -451,12 +452,12 @@
   if (sql_is (c, "ROLLBACK") || sql_is (c, "COMMIT"))
     end_tx (c, sql_is (c, "COMMIT"));
   else if (c->failed)
-    error_reply (c, "25P02", "the transaction is aborted");
+    send_error (c, "25P02", "the transaction is aborted");
   else if (sql_is (c, "BEGIN"))
     {
       c->in_tx = true;
       c->read_only = sql_is (c, "BEGIN READ ONLY");
-      complete (c, "BEGIN");
+      send_command_complete (c, "BEGIN");
     }
   else if (strstr (c->sql, "coltsfootstage_position"))
     run_position (c);
@@ -469,11 +470,11 @@
   else if (strstr (c->sql, "stock"))
     run_stock (c);
   else
-    error_reply (c, "42601", "syntax error");
+    send_error (c, "42601", "syntax error");
 }
 
 static bool
-takes_slot (const struct conn *c)
+needs_slot (const struct conn *c)
 {
   return (strstr (c->sql, "orders") || strstr (c->sql, "stock"))
          && !strstr (c->sql, "seen");
@@ -481,23 +482,23 @@
 
 /* Starts the statement's service; returns whether it is over. */
 static bool
-served (struct conn *c)
+service_completed (struct conn *c)
 {
   int64_t now = now_us ();
-  if (!takes_slot (c) || c->failed)
+  if (!needs_slot (c) || c->failed)
     return true;
-  if (!c->busy)
+  if (!c->holds_slot)
     {
-      if (running_jobs >= slots)
+      if (busy_slots >= slots)
         return false;
-      c->busy = true;
-      c->job_end = now + service_us;
-      running_jobs++;
+      c->holds_slot = true;
+      c->busy_until = now + service_us;
+      busy_slots++;
     }
-  if (now < c->job_end)
+  if (now < c->busy_until)
     return false;
-  c->busy = false;
-  running_jobs--;
+  c->holds_slot = false;
+  busy_slots--;
   return true;
 }
 
@@ -532,38 +533,38 @@
 }
 
 static void
-ready (struct conn *c)
+send_ready_for_query (struct conn *c)
 {
   char state = c->failed ? 'E' : c->in_tx ? 'T' : 'I';
-  message (c, 'Z', &state, 1);
+  append_message (c, 'Z', &state, 1);
 }
 
 /* Handles one message; returns false when it has to wait. */
 static bool
-handle (struct conn *c, char type, const char *body)
+handle_message (struct conn *c, char type, const char *body)
 {
   if (type == 'S')
     {
-      c->skip = false;
-      ready (c);
+      c->skip_to_sync = false;
+      send_ready_for_query (c);
     }
   else if (type == 'X')
     c->closing = true;
-  else if (c->skip)
+  else if (c->skip_to_sync)
     return true;
   else if (type == 'P')
     {
       snprintf (c->sql, sizeof c->sql, "%s", body + strlen (body) + 1);
-      message (c, '1', "", 0);
+      append_message (c, '1', "", 0);
     }
   else if (type == 'B')
     {
       bind_params (c, body);
-      message (c, '2', "", 0);
+      append_message (c, '2', "", 0);
     }
   else if (type == 'E')
     {
-      if (!served (c))
+      if (!service_completed (c))
         return false;
       execute (c);
     }
@@ -579,16 +580,16 @@
                                  "UTF8";
   uint32_t zero = 0;
   char key_data[8] = { 0 };
-  message (c, 'R', &zero, 4);
-  message (c, 'S', version, sizeof version);
-  message (c, 'S', encoding, sizeof encoding);
-  message (c, 'K', key_data, 8);
-  ready (c);
+  append_message (c, 'R', &zero, 4);
+  append_message (c, 'S', version, sizeof version);
+  append_message (c, 'S', encoding, sizeof encoding);
+  append_message (c, 'K', key_data, 8);
+  send_ready_for_query (c);
   c->started = true;
 }
 
 static size_t
-startup (struct conn *c)
+handle_startup (struct conn *c)
 {
   uint32_t len, code;
   if (c->in_len < 8)
@@ -600,22 +601,22 @@
   if (len > c->in_len)
     return 0;
   if (code == SSL_REQUEST)
-    put (c, "N", 1);
+    append_output (c, "N", 1);
   else if (code == PEER_REQUEST && !isolated)
     {
       c->role = FOLLOWER;
-      memcpy (&c->sent, c->in + 8, 8);
+      memcpy (&c->next_to_send, c->in + 8, 8);
     }
   else if (code == PROTOCOL_3)
     {
       int n = 0;
-      for (int i = 0; i < CONNS; i++)
+      for (int i = 0; i < CONNS_MAX; i++)
         n += conns[i].role == CALLER;
       if (n > max_conns)
         c->closing = true;
-      if (c->ready_at == 0)
-        c->ready_at = now_us () + connect_us;
-      if (now_us () < c->ready_at)
+      if (c->due_at == 0)
+        c->due_at = now_us () + connect_us;
+      if (now_us () < c->due_at)
         return 0;
       start_session (c);
     }
@@ -633,7 +634,7 @@
       size_t n;
       if (!c->started)
         {
-          n = startup (c);
+          n = handle_startup (c);
           if (n == 0)
             break;
         }
@@ -644,7 +645,7 @@
             break;
           memcpy (&len, c->in + 1, 4);
           n = ntohl (len) + 1;
-          if (c->in_len < n || !handle (c, c->in[0], c->in + 5))
+          if (c->in_len < n || !handle_message (c, c->in[0], c->in + 5))
             break;
         }
       memmove (c->in, c->in + n, c->in_len - n);
@@ -656,10 +657,10 @@
 
 /* Line to a follower: its history first, then each op. */
 static void
-feed_follower (struct conn *c)
+serve_follower (struct conn *c)
 {
   char line[9200];
-  if (isolated || !leads)
+  if (isolated || !is_primary)
     {
       c->closing = true;
       return;
@@ -671,31 +672,32 @@
           int n = snprintf (line, sizeof line, "T %llu %llu\n",
                             (unsigned long long)terms[i].term,
                             (unsigned long long)terms[i].start);
-          put (c, line, (size_t)n);
+          append_output (c, line, (size_t)n);
         }
       int n = snprintf (line, sizeof line, "G\n");
-      put (c, line, (size_t)n);
+      append_output (c, line, (size_t)n);
       c->started = true;
-      c->sent = UINT64_MAX;
+      c->next_to_send = UINT64_MAX;
     }
   /* The follower answers "P <position>" once it has rewound. */
-  if (c->sent == UINT64_MAX && c->in_len && memchr (c->in, '\n', c->in_len))
+  if (c->next_to_send == UINT64_MAX && c->in_len
+      && memchr (c->in, '\n', c->in_len))
     {
-      c->sent = strtoull (c->in + 2, NULL, 10);
+      c->next_to_send = strtoull (c->in + 2, NULL, 10);
       c->in_len = 0;
     }
-  if (now_us () > c->job_end)
+  if (now_us () > c->busy_until)
     {
-      put (c, "H\n", 2);
-      c->job_end = now_us () + 100000;
+      append_output (c, "H\n", 2);
+      c->busy_until = now_us () + 100000;
     }
-  while (c->sent < position && c->out_len < 65536)
+  while (c->next_to_send < position && c->out_len < 65536)
     {
       int n = snprintf (line, sizeof line, "O %llu %s\n",
-                        (unsigned long long)ops[c->sent].term,
-                        ops[c->sent].text);
-      put (c, line, (size_t)n);
-      c->sent++;
+                        (unsigned long long)log_entries[c->next_to_send].term,
+                        log_entries[c->next_to_send].text);
+      append_output (c, line, (size_t)n);
+      c->next_to_send++;
     }
 }
 
@@ -703,53 +705,57 @@
 static struct
 {
   uint64_t term, start;
-} next_terms[TERMS];
-static int next_count;
+} upstream_terms[TERMS_MAX];
+static int upstream_term_count;
 
 static void
-take_history (struct conn *c)
+adopt_history (struct conn *c)
 {
   char line[64];
   uint64_t keep = position;
-  for (int i = 0; i < next_count; i++)
-    if (next_terms[i].term > term () && next_terms[i].start < keep)
-      keep = next_terms[i].start;
+  for (int i = 0; i < upstream_term_count; i++)
+    if (upstream_terms[i].term > current_term ()
+        && upstream_terms[i].start < keep)
+      keep = upstream_terms[i].start;
   while (position > keep)
-    free (ops[--position].text);
-  if (visible > position)
-    visible = position;
-  memcpy (terms, next_terms, sizeof terms);
-  term_count = next_count;
-  leads = false;
+    free (log_entries[--position].text);
+  if (visible_position > position)
+    visible_position = position;
+  memcpy (terms, upstream_terms, sizeof terms);
+  term_count = upstream_term_count;
+  is_primary = false;
   c->started = true;
   int n
       = snprintf (line, sizeof line, "P %llu\n", (unsigned long long)position);
-  put (c, line, (size_t)n);
+  append_output (c, line, (size_t)n);
 }
 
 static void
-upstream_line (struct conn *c, char *line)
+handle_upstream_line (struct conn *c, char *line)
 {
   unsigned long long a, b;
   if (line[0] == 'T' && sscanf (line, "T %llu %llu", &a, &b) == 2
-      && next_count < TERMS)
+      && upstream_term_count < TERMS_MAX)
     {
-      next_terms[next_count].term = a;
-      next_terms[next_count++].start = b;
+      upstream_terms[upstream_term_count].term = a;
+      upstream_terms[upstream_term_count++].start = b;
     }
   else if (line[0] == 'G')
     {
-      if (next_count == 0 || next_terms[next_count - 1].term < term ()
-          || (leads && next_terms[next_count - 1].term == term ()))
+      if (upstream_term_count == 0
+          || upstream_terms[upstream_term_count - 1].term < current_term ()
+          || (is_primary
+              && upstream_terms[upstream_term_count - 1].term
+                     == current_term ()))
         c->closing = true;
       else
-        take_history (c);
+        adopt_history (c);
     }
   else if (line[0] == 'O' && c->started)
     {
       char *text = strchr (line + 2, ' ');
       if (text)
-        commit_op (text + 1, strtoull (line + 2, NULL, 10));
+        append_to_log (text + 1, strtoull (line + 2, NULL, 10));
     }
 }
 
@@ -761,47 +767,47 @@
     {
       size_t n = (size_t)(end - c->in) + 1;
       *end = 0;
-      upstream_line (c, c->in);
+      handle_upstream_line (c, c->in);
       memmove (c->in, c->in + n, c->in_len - n);
       c->in_len -= n;
     }
 }
 
 static void
-follow (void)
+connect_upstream (void)
 {
-  static int next;
-  static int64_t at;
+  static int next_peer;
+  static int64_t next_attempt_at;
   uint32_t head[2] = { htonl (16), htonl (PEER_REQUEST) };
   uint64_t from = position;
   struct conn *c;
-  if (isolated || peer_count == 0 || now_us () < at)
+  if (isolated || peer_count == 0 || now_us () < next_attempt_at)
     return;
-  at = now_us () + FOLLOW_US;
+  next_attempt_at = now_us () + FOLLOW_INTERVAL_US;
   if (upstream >= 0)
     return;
-  next_count = 0;
-  next = (next + 1) % peer_count;
-  c = dial (peer_ports[next], UPSTREAM);
+  upstream_term_count = 0;
+  next_peer = (next_peer + 1) % peer_count;
+  c = connect_to (peer_ports[next_peer], UPSTREAM);
   if (!c)
     return;
   upstream = (int)(c - conns);
-  c->ready_at = now_us () + 400000;
-  put (c, head, 8);
-  put (c, &from, 8);
+  c->due_at = now_us () + 400000;
+  append_output (c, head, 8);
+  append_output (c, &from, 8);
 }
 
 static void
-announce (void)
+send_announcement (void)
 {
-  static int64_t at;
+  static int64_t next_announcement_at;
   char body[512], text[1024];
   struct conn *c;
-  if (now_us () < at || announce_count == 0)
+  if (now_us () < next_announcement_at || announce_count == 0)
     return;
-  at = now_us () + ANNOUNCE_US;
-  next_announce = (next_announce + 1) % announce_count;
-  c = dial (announce_ports[next_announce], ANNOUNCER);
+  next_announcement_at = now_us () + ANNOUNCE_INTERVAL_US;
+  announce_index = (announce_index + 1) % announce_count;
+  c = connect_to (announce_ports[announce_index], ANNOUNCER);
   if (!c)
     return;
   snprintf (body, sizeof body,
@@ -810,15 +816,16 @@
             "\"connections\":%d,\"term\":%llu,\"role\":\"%s\","
             "\"position\":%llu,\"leaving\":%s}",
             name, group, zone, port, slots, max_conns,
-            (unsigned long long)term (), leads ? "primary" : "replica",
-            (unsigned long long)visible, leaving ? "true" : "false");
+            (unsigned long long)current_term (),
+            is_primary ? "primary" : "replica",
+            (unsigned long long)visible_position, leaving ? "true" : "false");
   snprintf (text, sizeof text,
             "POST /v1/announce HTTP/1.1\r\nHost: h\r\nConnection: close\r\n"
             "Authorization: Bearer %s\r\nContent-Type: application/json\r\n"
             "Content-Length: %zu\r\n\r\n%s",
             key, strlen (body), body);
-  put (c, text, strlen (text));
-  c->ready_at = now_us () + 1000000;
+  append_output (c, text, strlen (text));
+  c->due_at = now_us () + 1000000;
 }
 
 static void
@@ -844,13 +851,13 @@
     }
   if (n <= 0 || c->role == ANNOUNCER)
     return;
-  if (record >= 0 && write (record, buf, (size_t)n) != n)
+  if (record_fd >= 0 && write (record_fd, buf, (size_t)n) != n)
     exit (4);
   c->in = realloc (c->in, c->in_len + (size_t)n + 1);
   memcpy (c->in + c->in_len, buf, (size_t)n);
   c->in_len += (size_t)n;
   if (c->role == UPSTREAM)
-    c->ready_at = now_us () + 400000;
+    c->due_at = now_us () + 400000;
 }
 
 static void
@@ -870,39 +877,40 @@
 }
 
 static void
-advance (struct conn *c)
+process_conn (struct conn *c)
 {
   if (c->role == CALLER)
     serve_caller (c);
   if (c->role == FOLLOWER)
-    feed_follower (c);
-  else if (c->role == UPSTREAM && (isolated || now_us () > c->ready_at))
+    serve_follower (c);
+  else if (c->role == UPSTREAM && (isolated || now_us () > c->due_at))
     c->closing = true;
   else if (c->role == UPSTREAM)
     serve_upstream (c);
-  else if (c->role == ANNOUNCER && now_us () > c->ready_at)
+  else if (c->role == ANNOUNCER && now_us () > c->due_at)
     c->closing = true;
   if (c->closing && (c->out_len == 0 || c->role != CALLER))
-    drop (c);
+    close_conn (c);
 }
 
 static void
-show_lagged (void)
+apply_lag (void)
 {
   int64_t limit = now_us () - lag_us;
-  while (!leads && visible < position && ops[visible].at <= limit)
-    visible++;
+  while (!is_primary && visible_position < position
+         && log_entries[visible_position].appended_at <= limit)
+    visible_position++;
 }
 
 static void
 loop_once (int listener)
 {
-  struct pollfd fds[CONNS + 1];
-  int index[CONNS + 1], n = 1;
+  struct pollfd fds[CONNS_MAX + 1];
+  int index[CONNS_MAX + 1], n = 1;
   struct timespec wait = { 0, 500000 };
   fds[0].fd = listener;
   fds[0].events = POLLIN;
-  for (int i = 0; i < CONNS; i++)
+  for (int i = 0; i < CONNS_MAX; i++)
     if (conns[i].role != FREE)
       {
         fds[n].fd = conns[i].fd;
@@ -921,15 +929,15 @@
             transmit (&conns[index[i]]);
         }
     }
-  show_lagged ();
-  for (int i = 0; i < CONNS; i++)
+  apply_lag ();
+  for (int i = 0; i < CONNS_MAX; i++)
     if (conns[i].role != FREE)
-      advance (&conns[i]);
-  for (int i = 0; i < CONNS; i++)
+      process_conn (&conns[i]);
+  for (int i = 0; i < CONNS_MAX; i++)
     if (conns[i].role != FREE && conns[i].out_len)
       transmit (&conns[i]);
-  follow ();
-  announce ();
+  connect_upstream ();
+  send_announcement ();
 }
 
 static int
@@ -980,7 +988,7 @@
         zone = optarg;
         break;
       case 'R':
-        record = open (optarg, O_WRONLY | O_CREAT | O_APPEND, 0600);
+        record_fd = open (optarg, O_WRONLY | O_CREAT | O_APPEND, 0600);
         break;
       case 'K':
         key = optarg;
@@ -1004,14 +1012,14 @@
         connect_us = atoll (optarg) * 1000;
         break;
       case 'P':
-        leads = true;
+        is_primary = true;
         break;
       case 'f':
-        if (peer_count < PEERS)
+        if (peer_count < PEERS_MAX)
           peer_ports[peer_count++] = atoi (optarg);
         break;
       case 'a':
-        if (announce_count < PEERS)
+        if (announce_count < PEERS_MAX)
           announce_ports[announce_count++] = atoi (optarg);
         break;
       default:
@@ -1022,7 +1030,7 @@
   signal (SIGUSR2, on_signal);
   signal (SIGTERM, on_signal);
   signal (SIGINT, on_signal);
-  if (leads)
+  if (is_primary)
     add_term (1, 0);
   int listener = listen_on (port);
   while (!stopping)
