--- a/tests/soak/proxy.c
+++ b/tests/soak/proxy.c
@@ -22,6 +22,16 @@
 #define FAULT_MAX_MS 4000
 #define DELAY_MAX_MS 250
 
+enum fault_kind
+{
+  FAULT_RESET,
+  FAULT_BLOCK_BOTH,
+  FAULT_BLOCK_TO_DEST,
+  FAULT_BLOCK_FROM_DEST,
+  FAULT_DELAY,
+  FAULT_KINDS
+};
+
 struct listener
 {
   int fd;
@@ -233,22 +243,22 @@
 proxy_inject_fault (void)
 {
   unsigned n = random_below ((unsigned)listener_count);
-  unsigned kind = random_below (5);
+  unsigned kind = random_below (FAULT_KINDS);
   struct listener *l = &listeners[n];
   unsigned ms = FAULT_MIN_MS + random_below (FAULT_MAX_MS - FAULT_MIN_MS);
 
   pthread_mutex_lock (&lock);
-  if (kind == 0)
+  if (kind == FAULT_RESET)
     for (size_t i = 0; i < RELAYS_MAX; i++)
       if (relays[i] && relays[i]->listener == l)
         close_relay (&relays[i], true);
-  if (kind == 1 || kind == 2)
+  if (kind == FAULT_BLOCK_BOTH || kind == FAULT_BLOCK_TO_DEST)
     l->blocked[0] = true;
-  if (kind == 1 || kind == 3)
+  if (kind == FAULT_BLOCK_BOTH || kind == FAULT_BLOCK_FROM_DEST)
     l->blocked[1] = true;
-  if (kind == 4)
+  if (kind == FAULT_DELAY)
     l->delay_ms = (int)random_below (DELAY_MAX_MS);
-  if (kind > 0)
+  if (kind != FAULT_RESET)
     l->fault_until = now_ms () + ms;
   pthread_mutex_unlock (&lock);
   log_event ("link %u to %s:%u kind %u for %u ms", n, l->dest_ip, l->dest_port,
--- a/tests/standin/target.c
+++ b/tests/standin/target.c
@@ -31,7 +31,11 @@
 #define SSL_REQUEST 80877103
 #define PEER_REQUEST 80877199
 #define ANNOUNCE_INTERVAL_US 300000
+#define ANNOUNCE_TIMEOUT_US 1000000
 #define FOLLOW_INTERVAL_US 50000
+#define UPSTREAM_TIMEOUT_US 400000
+#define HEARTBEAT_INTERVAL_US 100000
+#define FOLLOWER_OUTPUT_MAX 65536
 
 enum role
 {
@@ -689,9 +693,9 @@
   if (now_us () > c->busy_until)
     {
       append_output (c, "H\n", 2);
-      c->busy_until = now_us () + 100000;
+      c->busy_until = now_us () + HEARTBEAT_INTERVAL_US;
     }
-  while (c->next_to_send < position && c->out_len < 65536)
+  while (c->next_to_send < position && c->out_len < FOLLOWER_OUTPUT_MAX)
     {
       int n = snprintf (line, sizeof line, "O %llu %s\n",
                         (unsigned long long)log_entries[c->next_to_send].term,
@@ -792,7 +796,7 @@
   if (!c)
     return;
   upstream = (int)(c - conns);
-  c->due_at = now_us () + 400000;
+  c->due_at = now_us () + UPSTREAM_TIMEOUT_US;
   append_output (c, head, 8);
   append_output (c, &from, 8);
 }
@@ -825,7 +829,7 @@
             "Content-Length: %zu\r\n\r\n%s",
             key, strlen (body), body);
   append_output (c, text, strlen (text));
-  c->due_at = now_us () + 1000000;
+  c->due_at = now_us () + ANNOUNCE_TIMEOUT_US;
 }
 
 static void
@@ -857,7 +861,7 @@
   memcpy (c->in + c->in_len, buf, (size_t)n);
   c->in_len += (size_t)n;
   if (c->role == UPSTREAM)
-    c->due_at = now_us () + 400000;
+    c->due_at = now_us () + UPSTREAM_TIMEOUT_US;
 }
 
 static void
