--- a/tests/soak/callers.c
+++ b/tests/soak/callers.c
@@ -1,7 +1,8 @@
 /*
- * Callers: each owns one item and writes rising numbers to it, so what a
- * reader sees tells whether something is missing, doubled or too old.  They
- * keep using open connections until these end.
+ * Callers.  Each caller owns one item and writes increasing numbers to it, so
+ * that a read or the group's log shows whether a write is missing, was
+ * committed twice or is too old.  A caller uses its connection until an error
+ * or a time-out, then connects again.
  */
 #include "soak.h"
 
@@ -23,12 +24,18 @@
 #define LIMITED_BURST 10.0
 #define ADMITTED_MAX 65536
 
+/* What a caller tests; there are FRONTS callers of each kind. */
 enum caller_kind
 {
+  /* Single statements on the route of type primary. */
   KIND_PRIMARY,
+  /* Single statements on the route of type read_your_writes. */
   KIND_READ_YOUR_WRITES,
+  /* BEGIN, READ, WRITE, COMMIT on the route of type primary. */
   KIND_TRANSACTION,
+  /* As KIND_READ_YOUR_WRITES, with the key that is revoked at times. */
   KIND_REVOCABLE_KEY,
+  /* As KIND_READ_YOUR_WRITES, in the team with a low rate. */
   KIND_RATE_LIMITED
 };
 
@@ -40,7 +47,7 @@
   WAITING
 };
 
-/* What is known of a write. */
+/* What the replies say about a write. */
 enum outcome
 {
   OUTCOME_UNKNOWN,
@@ -65,11 +72,15 @@
   enum stage stage;
   enum step step;
   int fd;
+  /* Next connect or statement, or the time-out of the reply. */
   int64_t due_at;
   unsigned statement_count;
+  /* Number of the last write sent; writes are numbered from 1. */
   unsigned write_count;
+  /* Last acknowledged write, on the present connection and on any. */
   unsigned session_last_acked;
   unsigned last_acked;
+  /* Item being read, and the least number that the read must return. */
   unsigned item;
   unsigned min_value;
   unsigned row_value;
@@ -77,12 +88,15 @@
   char error_code[32];
   char input[LINE_BYTES * 4];
   size_t input_len;
+  /* Per write: enum outcome, occurrences in the group's log, and the time of
+     the acknowledgement. */
   unsigned char outcome[WRITES_MAX];
   unsigned char commit_count[WRITES_MAX];
   int64_t acked_at[WRITES_MAX];
 };
 
 static struct caller callers[CALLERS];
+/* Times at which statements of the rate-limited team succeeded. */
 static int64_t admitted_at[ADMITTED_MAX];
 static size_t admitted_count;
 static unsigned served_count;
@@ -109,6 +123,7 @@
 static void
 open_caller (struct caller *c)
 {
+  /* API keys by caller kind. */
   static const char *const keys[] = { "k1", "k1", "k1", "g1", "p1" };
   struct sockaddr_in to = { .sin_family = AF_INET };
   char text[64];
@@ -131,7 +146,9 @@
   send_text (c, text);
 }
 
-/* The least number that a read which is sent now must show. */
+/* The least number of @writer that a read sent now by @c must return: the
+   last acknowledged one on the primary; elsewhere the last one that is older
+   than the route's max_staleness_ms, or the caller's own last write. */
 static unsigned
 min_expected_value (const struct caller *c, const struct caller *writer)
 {
@@ -205,6 +222,8 @@
     send_read (c, STEP_READ);
 }
 
+/* Whether an error with this code guarantees that the write was not
+   committed. */
 static bool
 is_definite_error (const char *code)
 {
@@ -236,9 +255,10 @@
 check_row (struct caller *c)
 {
   if (c->row_of_other_item)
-    report_violation ("caller %u got a row of another item", c->index);
+    report_violation ("caller %u: READ returned a row of another item",
+                      c->index);
   if (c->row_value < c->min_value)
-    report_violation ("caller %u read %u of item %u, %u was acknowledged",
+    report_violation ("caller %u read %u of item %u, expected at least %u",
                       c->index, c->row_value, c->item, c->min_value);
 }
 
@@ -249,13 +269,16 @@
 
   served_count++;
   if (c->kind == KIND_REVOCABLE_KEY && since && sent_at - since > REVOKE_MS)
-    report_violation ("a withdrawn key was served %d ms after the answer",
-                      (int)(sent_at - since));
+    report_violation (
+        "a statement with a revoked key succeeded %d ms after the "
+        "revocation was acknowledged",
+        (int)(sent_at - since));
   if (c->kind == KIND_RATE_LIMITED && admitted_count < ADMITTED_MAX)
     admitted_at[admitted_count++] = now_ms ();
 }
 
-/* The answer is whole: what it means, and what comes next. */
+/* The reply ended with READY: checks it and sends the next statement of a
+   transaction. */
 static void
 handle_reply (struct caller *c)
 {
@@ -282,7 +305,8 @@
     close_caller (c, 100 + random_below (300));
 }
 
-/* The connection is gone, or nothing came in time. */
+/* The connection was closed or the reply timed out.  A write inside a
+   transaction whose COMMIT was not sent cannot be committed. */
 static void
 fail_connection (struct caller *c)
 {
@@ -309,8 +333,9 @@
   else if (c->stage != WAITING)
     {
       if (strncmp (line, "ERROR", 5) != 0)
-        report_violation ("caller %u got an answer to nothing: %s", c->index,
-                          line);
+        report_violation (
+            "caller %u: line received with no statement in progress: %s",
+            c->index, line);
     }
   else if (sscanf (line, "ROW %u-%u", &owner, &c->row_value) == 2)
     c->row_of_other_item = owner != c->item;
@@ -404,12 +429,14 @@
   if (sscanf (item, "i%u", &item_index) != 1
       || sscanf (data, "%u-%u", &writer, &n) != 2 || writer != item_index
       || item_index >= CALLERS || n >= WRITES_MAX)
-    report_violation ("the log has %s %s, which nobody wrote", item, data);
+    report_violation ("the group's log has %s %s, which no caller wrote", item,
+                      data);
   else if (callers[item_index].commit_count[n]++ > 0)
-    report_violation ("write %s is in the log twice", data);
+    report_violation ("write %s was committed twice", data);
 }
 
-/* In no window more passes than rate and burst, with the slack allowed. */
+/* No window of RATE_WINDOW_MS may hold more successes than rate and burst
+   allow, plus the tolerated 10 % and 20 operations. */
 static void
 check_rate (void)
 {
@@ -423,8 +450,10 @@
         from++;
       if ((double)(i - from + 1) > max_admitted)
         {
-          report_violation ("%zu operations of a team passed in %d ms",
-                            i - from + 1, RATE_WINDOW_MS);
+          report_violation (
+              "%zu statements of the rate-limited team succeeded within "
+              "%d ms",
+              i - from + 1, RATE_WINDOW_MS);
           return;
         }
     }
@@ -436,7 +465,7 @@
   unsigned acked = 0;
 
   if (!fleet_read_commits (count_commit))
-    report_violation ("the group's log cannot be read");
+    report_violation ("the group's log could not be read completely");
   for (unsigned i = 0; i < CALLERS; i++)
     for (unsigned n = 1; n <= callers[i].write_count; n++)
       {
@@ -444,11 +473,14 @@
 
         acked += c->outcome[n] == ACKED;
         if (c->outcome[n] == ACKED && !c->commit_count[n])
-          report_violation ("write %u-%u was acknowledged and is gone", i, n);
+          report_violation (
+              "write %u-%u was acknowledged but is not in the log", i, n);
         if (c->outcome[n] == NOT_COMMITTED && c->commit_count[n])
-          report_violation ("write %u-%u was refused and is kept", i, n);
+          report_violation (
+              "write %u-%u must not be committed but is in the log", i, n);
       }
   check_rate ();
-  log_event ("%u writes acknowledged, %zu operations of the pressed team",
+  log_event ("%u writes acknowledged, %zu statements of the rate-limited team "
+             "succeeded",
              acked, admitted_count);
 }
--- a/tests/soak/fleet.c
+++ b/tests/soak/fleet.c
@@ -1,5 +1,5 @@
 /*
- * The processes of a run: settings, start, signals, restart.
+ * The processes of a run: their settings files, start, faults and restart.
  */
 #include "soak.h"
 
@@ -13,14 +13,18 @@
 #include <unistd.h>
 
 #define HOSTS (CORES + FRONTS)
-/* A host may lose its disk once the others have been well for this time. */
+/* A control host's data is deleted only when all control hosts have been
+   running for this time, so that the others have caught up with the log. */
 #define CATCH_UP_MS 8000
+/* A draining instance reports its state for this time before it stops. */
 #define DRAIN_MS 2500
 
 struct process
 {
   char name[16];
+  /* 0 while the process is not running. */
   pid_t pid;
+  /* Stopped by SIGSTOP until resume_at. */
   bool paused;
   bool wiped;
   int64_t resume_at;
@@ -28,6 +32,8 @@
   int64_t running_since;
 };
 
+/* An instance of the group, driven by commands to the stand-in.  Times are 0
+   when nothing is pending. */
 struct instance
 {
   bool down;
@@ -64,7 +70,8 @@
   return (int64_t)t.tv_sec * 1000 + t.tv_nsec / 1000000;
 }
 
-/* Starts a program whose output goes to a file; its input is @in. */
+/* Starts a program with stdout and stderr appended to @log.  @in becomes its
+   stdin unless negative; @settings is the path of a host's settings file. */
 static pid_t
 spawn (const char *log, int in, char *const argv[], const char *settings)
 {
@@ -179,7 +186,7 @@
   int len = snprintf (line, sizeof line, "%s %u\n", word, instance + 1);
 
   if (write (group_stdin, line, (size_t)len) != len)
-    report_violation ("the group is gone");
+    report_violation ("cannot write a command to the group stand-in");
 }
 
 void
@@ -199,6 +206,8 @@
   first_start = false;
 }
 
+/* Collects a host that exited by itself or after SIGTERM and schedules its
+   restart.  It must have exited with status 0. */
 static void
 reap (struct process *p, int64_t now)
 {
@@ -210,7 +219,8 @@
   if (p->restart_at)
     return;
   if (!WIFEXITED (status) || WEXITSTATUS (status) != 0)
-    report_violation ("%s ended by itself, status %d", p->name, status);
+    report_violation ("%s exited unexpectedly, wait status %d", p->name,
+                      status);
   p->restart_at = now + 500;
 }
 
@@ -257,7 +267,7 @@
     }
 }
 
-/* Ends a host at once; it starts again after a pause. */
+/* Kills a host with SIGKILL and schedules its restart. */
 static void
 kill_host (struct process *p, unsigned pause_ms)
 {
@@ -270,7 +280,8 @@
   p->restart_at = now_ms () + pause_ms;
 }
 
-/* Only while the other control hosts have been well for a while. */
+/* Kills a control host and deletes its data folder, unless a control host is
+   down, paused or has run without a pause for less than CATCH_UP_MS. */
 static void
 wipe_core (struct process *p)
 {
@@ -284,10 +295,11 @@
   snprintf (command, sizeof command, "rm -rf %s/%s.data", folder, p->name);
   if (system (command) != 0)
     exit (2);
-  log_event ("%s lost its disk", p->name);
+  log_event ("%s killed, data folder deleted", p->name);
 }
 
-/* A write that was cut off by the end of the process. */
+/* Appends an incomplete record to the log files of a killed host, as a write
+   that the end of the process cut off would leave. */
 static void
 append_torn_record (const struct process *p)
 {
@@ -298,7 +310,8 @@
             "printf '\\001\\377x' >> \"$f\"; done; true",
             folder, p->name);
   if (system (command) == 0)
-    log_event ("%s has a torn write", p->name);
+    log_event ("%s killed, incomplete record appended to its log files",
+               p->name);
 }
 
 static void
@@ -311,7 +324,8 @@
   p->resume_at = now_ms () + ms;
 }
 
-/* Another instance may hold the only copy of a commit meanwhile. */
+/* Cuts the replication to one instance.  At most one at a time: meanwhile
+   another instance may hold the only copy of a commit. */
 static void
 cut_replication (void)
 {
@@ -323,9 +337,11 @@
       return;
   instances[i].replication_cut_until = now_ms () + ms;
   send_group_command ("deaf", i);
-  log_event ("instance t%u receives nothing for %u ms", i + 1, ms);
+  log_event ("instance t%u: replication cut for %u ms", i + 1, ms);
 }
 
+/* Stops an instance, half of the time after it drained.  At most one instance
+   is down at a time. */
 static void
 stop_random_instance (void)
 {
@@ -339,7 +355,8 @@
   in->draining = drains;
   in->stop_at = now_ms () + (drains ? DRAIN_MS : 1);
   in->restart_at = in->stop_at + 500 + random_below (3000);
-  log_event ("instance t%u %s", i + 1, drains ? "leaves" : "stops");
+  log_event ("instance t%u %s", i + 1,
+             drains ? "drains, then stops" : "stops");
 }
 
 void
@@ -363,7 +380,7 @@
     case 4:
       if (p->pid && !p->paused)
         kill (p->pid, SIGTERM);
-      log_event ("%s told to stop", p->name);
+      log_event ("%s sent SIGTERM", p->name);
       break;
     case 5:
       wipe_core (&hosts[random_below (CORES)]);
@@ -419,6 +436,7 @@
   return instances[i].incarnation;
 }
 
+/* The stand-in prints its log to group.log and has 500 ms for it. */
 bool
 fleet_read_commits (void (*each) (const char *item, const char *data))
 {
--- a/tests/soak/operator.c
+++ b/tests/soak/operator.c
@@ -1,7 +1,8 @@
 /*
- * The operator and the instances' reports, on connections of their own that
- * no forwarder touches.  Documents follow one another; some take the guests'
- * key away, some are older or broken.
+ * The operator and the instances' heartbeats, in a thread of their own and on
+ * direct connections that no forwarder disturbs.  Sends one configuration
+ * document after the other with increasing versions; some revoke the guests'
+ * key, and some extra ones are truncated and must be rejected.
  */
 #include "soak.h"
 
@@ -28,15 +29,16 @@
 static uint64_t sequence[INSTANCES];
 static uint64_t last_version;
 static bool acked_has_guest_key = true;
-/* The document under way, 0 when it was acknowledged. */
+/* Version being sent, 0 once it was acknowledged. */
 static uint64_t pending_version;
 static bool pending_has_guest_key;
-/* Highest acknowledged version and when; an earlier one that is old enough
-   to be in force everywhere. */
+/* The last acknowledged version, the time of its acknowledgement, and the last
+   version that must be in force everywhere, CONFIG_APPLY_MS after that. */
 static uint64_t acked_version;
 static int64_t acked_at;
 static uint64_t in_force_version;
 
+/* Separate from random_below(), which belongs to the main thread. */
 static unsigned
 random_choice (unsigned bound)
 {
@@ -67,7 +69,8 @@
   return n;
 }
 
-/* Calls a control host drawn by lot.  Return: the status, 0 without one. */
+/* Sends a request to a random control host, POST if @body is given.
+   Return: the HTTP status, 0 if there was no response. */
 static long
 send_request (const char *path, const char *body, struct response *r)
 {
@@ -96,7 +99,7 @@
   return status;
 }
 
-/* Asks an instance for its role.  Return: whether it answers. */
+/* Queries an instance's role.  Return: whether it replied. */
 static bool
 query_role (unsigned i, bool *primary)
 {
@@ -165,7 +168,9 @@
       with_guest_key ? "\"g1\"" : "");
 }
 
-/* Sends the document under way until it is acknowledged. */
+/* Sends the pending version; the caller repeats it until it is acknowledged.
+   The key counts as valid as soon as a document that restores it is sent,
+   and as revoked only when the revocation was acknowledged. */
 static void
 send_document (void)
 {
@@ -178,8 +183,9 @@
   format_document (body, sizeof body, pending_version, pending_has_guest_key);
   status = send_request ("/v1/Config.Replace", body, &r);
   if (status >= 400 && status < 500 && status != 408 && status != 429)
-    report_violation ("document %llu was refused with %ld",
-                      (unsigned long long)pending_version, status);
+    report_violation (
+        "configuration version %llu was rejected with status %ld",
+        (unsigned long long)pending_version, status);
   if (status != 200)
     return;
   if (!pending_has_guest_key)
@@ -201,9 +207,11 @@
   body[strlen (body) / 2] = '\0';
   status = send_request ("/v1/Config.Replace", body, &r);
   if (status == 200)
-    report_violation ("a document cut short was acknowledged");
+    report_violation ("a truncated configuration document was acknowledged");
 }
 
+/* The version that a control host describes must lie between the last one in
+   force everywhere and the last one sent. */
 static void
 check_described_version (void)
 {
@@ -218,7 +226,7 @@
   seen = found ? strtoull (found + 10, NULL, 10) : 0;
   if (seen < oldest_allowed || seen > last_version)
     report_violation (
-        "version %llu was read back, %llu is in force, %llu sent",
+        "configuration version %llu was read, expected %llu to %llu",
         (unsigned long long)seen, (unsigned long long)oldest_allowed,
         (unsigned long long)last_version);
 }
--- a/tests/soak/proxy.c
+++ b/tests/soak/proxy.c
@@ -1,6 +1,7 @@
 /*
- * Forwarders between the processes.  Bytes are kept in order; a direction
- * that is held keeps them until it is let go, as a link that is cut does.
+ * TCP forwarders between the processes.  A blocked direction keeps its bytes,
+ * in order, and sends them when the fault ends, as TCP does across a network
+ * partition that heals.
  */
 #include "soak.h"
 
@@ -22,6 +23,7 @@
 #define FAULT_MAX_MS 4000
 #define DELAY_MAX_MS 250
 
+/* The number of the kind is printed in soak.log. */
 enum fault_kind
 {
   FAULT_RESET,
@@ -32,17 +34,19 @@
   FAULT_KINDS
 };
 
+/* Listening socket of a forwarder, and the faults of its connections. */
 struct listener
 {
   int fd;
   char dest_ip[32];
   unsigned dest_port;
+  /* Towards the destination, and from it. */
   bool blocked[2];
   int delay_ms;
   int64_t fault_until;
 };
 
-/* One direction of a connection: bytes read and not yet written. */
+/* One direction of a relayed connection: bytes received and not yet sent. */
 struct direction
 {
   char bytes[BUFFER_BYTES];
@@ -51,6 +55,8 @@
   bool eof;
 };
 
+/* A relayed connection: the accepted socket, and the one to the destination.
+   Direction i receives from fd[i]. */
 struct relay
 {
   struct listener *listener;
@@ -88,7 +94,7 @@
   if (bind (l->fd, (struct sockaddr *)&at, sizeof at) != 0
       || listen (l->fd, 128) != 0)
     {
-      perror ("soak: forwarder");
+      perror ("soak: forwarder cannot listen");
       exit (2);
     }
 }
@@ -134,7 +140,9 @@
     close_relay (&relays[i], true);
 }
 
-/* Moves bytes one way.  Return: whether the connection goes on. */
+/* Receives and sends in one direction.  The delay applies to the first byte
+   received into an empty buffer.  Return: false if the relay must be closed.
+ */
 static bool
 relay_bytes (struct relay *r, int direction, int64_t now)
 {
@@ -261,8 +269,8 @@
   if (kind != FAULT_RESET)
     l->fault_until = now_ms () + ms;
   pthread_mutex_unlock (&lock);
-  log_event ("link %u to %s:%u kind %u for %u ms", n, l->dest_ip, l->dest_port,
-             kind, ms);
+  log_event ("forwarder %u to %s:%u: fault kind %u for %u ms", n, l->dest_ip,
+             l->dest_port, kind, ms);
 }
 
 void
--- a/tests/soak/soak.c
+++ b/tests/soak/soak.c
@@ -1,11 +1,12 @@
 /*
- * A run: start, faults drawn from the seed for some seconds, a calm time,
- * the checks.
+ * Main program of the soak: starts the fleet, injects faults chosen from the
+ * seed for SECONDS, then lets the fleet recover and runs the checks.
  *
  *   soak SEED [SECONDS [FOLDER]]
  *
- * Prints the seed and what was broken; FOLDER keeps the logs of all
- * processes and the record of faults, soak.log.
+ * Prints each violated guarantee, then the seed and the number of
+ * violations.  FOLDER receives the logs of all processes and soak.log, the
+ * log of faults and phases.
  */
 #include "soak.h"
 
@@ -127,7 +128,7 @@
     }
 }
 
-/* Waits until callers are served for the first time. */
+/* Waits until the first statement succeeds.  Return: false on time-out. */
 static bool
 wait_for_service (void)
 {
@@ -143,18 +144,18 @@
 {
   unsigned served;
 
-  log_event ("faults begin");
+  log_event ("fault injection begins");
   run_until (now_ms () + seconds * 1000, true);
   proxy_heal ();
   fleet_heal ();
   operator_stop_changes ();
-  log_event ("calm");
+  log_event ("fault injection ends, recovery begins");
   run_until (now_ms () + RECOVERY_MS, false);
   callers_served ();
   run_until (now_ms () + FINAL_WINDOW_MS, false);
   served = callers_served ();
   if (served < CALLERS * 2)
-    report_violation ("%u statements served in the last %d ms", served,
+    report_violation ("only %u statements succeeded in the last %d ms", served,
                       FINAL_WINDOW_MS);
 }
 
@@ -193,7 +194,7 @@
   if (wait_for_service ())
     run_faults (seconds);
   else
-    report_violation ("nothing is served after the start");
+    report_violation ("no statement succeeded after the start");
   callers_check ();
   fleet_stop ();
   printf ("soak seed %llu: %u broken, logs in %s\n",
--- a/tests/soak/soak.h
+++ b/tests/soak/soak.h
@@ -1,10 +1,12 @@
 /**
- * DOC: Fault soak: the real programs as processes on loopback, faults from
- * outside, promises checked from what callers and instances see.
+ * DOC: Fault-injection soak test.  Runs the real programs as processes on
+ * loopback, injects faults from outside and checks the guarantees of
+ * the proxy against the replies to callers and the log of the database group.
  *
- * Three control hosts, three hosts for callers, one stand-in group.  All
- * connections but the operator's go through forwarders that can hold, delay
- * or reset them.
+ * The fleet has three hosts with role core (control), three with role front
+ * (sessions of callers) and one stand-in group of three instances.  All
+ * connections except those of the operator thread go through TCP forwarders
+ * that can block, delay or reset them.
  */
 #ifndef SOAK_H
 #define SOAK_H
@@ -19,10 +21,15 @@
 #define CALLERS 15
 #define LINE_BYTES 512
 #define PATH_BYTES 256
+/* Setting revoke_ms of all hosts: a revoked key must be rejected this long
+   after the revocation was acknowledged. */
 #define REVOKE_MS 3000
+/* An acknowledged configuration must be in force everywhere after this. */
 #define CONFIG_APPLY_MS 3000
 
-/* Ports; every process has an address of its own. */
+/* Ports.  Every process has its own loopback address, so that processes of
+   one kind use the same port.  Host n reaches the control hosts through
+   forwarders at PORT_PEER + n, so that its connections can fail alone. */
 #define PORT_CONTROL 25000
 #define PORT_HTTP 25001
 #define PORT_SESSION 25030
@@ -31,89 +38,103 @@
 #define PORT_PROMOTION 25020
 #define PORT_PEER 26000
 
-/** now_ms() - milliseconds of a clock that goes on while we are stopped */
+/** now_ms() - CLOCK_BOOTTIME in milliseconds: also advances while the machine
+ * is suspended */
 int64_t now_ms (void);
 
-/** draw() - a number below a bound, from the seed of the run */
+/** random_below() - pseudo-random number below @bound from the run's seed;
+ * for the main thread only */
 unsigned random_below (unsigned bound);
 
-/** draw_seed() - sets the seed */
+/** random_seed() - seeds random_below() */
 void random_seed (uint64_t seed);
 
-/** fault_found() - notes a broken promise; the run goes on */
+/** report_violation() - logs, prints and counts a violated guarantee; the run
+ * continues */
 void report_violation (const char *format, ...)
     __attribute__ ((format (printf, 1, 2)));
 
-/** faults_found() - number of broken promises */
+/** violation_count() - number of violations reported so far */
 unsigned violation_count (void);
 
-/** note() - a line in the run's record of faults and changes */
+/** log_event() - writes a line to soak.log, the log of faults and phases */
 void log_event (const char *format, ...)
     __attribute__ ((format (printf, 1, 2)));
 
-/** address_of() - "127.S.0.N" of one of the run's addresses */
+/** loopback_address() - "127.S.0.N", S being the run's subnet; valid until
+ * the thread's next call */
 const char *loopback_address (unsigned n);
 
-/* Last numbers of addresses. */
+/* Last byte of the addresses; the first of several is given. */
 #define ADDRESS_CORE 11
 #define ADDRESS_FRONT 21
 #define ADDRESS_GROUP 31
 #define ADDRESS_PROMOTION 41
 #define ADDRESS_CALLERS 51
 
-/** fleet_start() - starts the group and all hosts; @folder holds all files */
+/** fleet_start() - starts the group and all hosts on 127.@subnet.0.0/24;
+ * settings, data and logs go to @folder */
 void fleet_start (const char *folder, unsigned subnet);
 
-/** fleet_stop() - ends all processes, by their ids */
+/** fleet_stop() - kills all processes of the run */
 void fleet_stop (void);
 
-/** fleet_tick() - wakes and restarts what is due */
+/** fleet_tick() - resumes and restarts hosts and instances that are due */
 void fleet_tick (void);
 
-/** fleet_heal() - wakes and restarts everything */
+/** fleet_heal() - makes all pending resumes and restarts due at once */
 void fleet_heal (void);
 
-/** fleet_fault() - stops, pauses, kills or empties hosts, or an instance */
+/** fleet_inject_fault() - kills, pauses, stops or wipes hosts, stops an
+ * instance or cuts its replication */
 void fleet_inject_fault (void);
 
-/** fleet_leaving() - whether an instance announces that it leaves */
+/** fleet_is_draining() - whether the instance reports state "draining" */
 bool fleet_is_draining (unsigned instance);
 
-/** fleet_born() - start of an instance's present life, Unix milliseconds */
+/** fleet_incarnation() - time of the instance's last start in Unix
+ * milliseconds, reported as "born" */
 int64_t fleet_incarnation (unsigned instance);
 
-/** fleet_dump() - the group's log: calls @each for each commit, in order */
+/** fleet_read_commits() - calls @each for each committed write in the group's
+ * log, in commit order; false if the log was not read completely */
 bool fleet_read_commits (void (*each) (const char *item, const char *data));
 
-/** proxy_start() - opens all forwarders, in a thread of their own */
+/** proxy_start() - opens all forwarders and runs them in a thread */
 void proxy_start (void);
 
-/** proxy_fault() - holds, delays or resets the connections of one */
+/** proxy_inject_fault() - blocks, delays or resets the connections of one
+ * forwarder */
 void proxy_inject_fault (void);
 
-/** proxy_heal() - lets everything pass */
+/** proxy_heal() - ends all faults of the forwarders */
 void proxy_heal (void);
 
-/** operator_start() - documents and reports of instances, in a thread */
+/** operator_start() - starts the thread that sends configuration documents
+ * and the instances' heartbeats */
 void operator_start (void);
 
-/** operator_calm() - no further change; restores all keys */
+/** operator_stop_changes() - restores the guests' key if it is revoked, then
+ * sends no further documents */
 void operator_stop_changes (void);
 
-/** operator_withdrawn() - since when the guests' key no longer counts, 0
- * while it does */
+/** operator_key_revoked_at() - time (now_ms()) at which the revocation of the
+ * guests' key was acknowledged, 0 while the key may be valid */
 int64_t operator_key_revoked_at (void);
 
-/** callers_start() - sessions of callers; callers_tick() drives them */
+/** callers_start() - initialises the callers; callers_tick() runs them */
 void callers_start (void);
 
-/** callers_tick() - waits up to @wait_ms */
+/** callers_tick() - waits up to @wait_ms for input, then handles input, time-
+ * outs and the next statement of each caller */
 void callers_tick (int wait_ms);
 
-/** callers_served() - statements answered with success since the last call */
+/** callers_served() - number of statements that succeeded since the last call
+ */
 unsigned callers_served (void);
 
-/** callers_check() - compares what was told with the group's log */
+/** callers_check() - compares the replies that callers received with the
+ * group's log, and checks the team's rate */
 void callers_check (void);
 
 #endif
