--- a/tests/standin/group.c
+++ b/tests/standin/group.c
@@ -1,19 +1,26 @@
 /*
- * Stand-in of the platform for the process tests: one database group of
- * three instances that speak the line protocol, with one log, and the
- * platform's call that makes an instance lead.  It shares no code with the
- * program under test.
+ * Stand-in for the platform in the process tests and the soak: a database
+ * group of three instances that speak the line protocol and share one log,
+ * and the platform's HTTP request that promotes an instance.  It shares no
+ * code with the program under test.
  *
  *   group SERVICE PORT1 PORT2 PORT3 PROMOTION_PORT [ADDRESS]
  *
- * A commit is on the primary and on every replica that is up and not paused;
- * while there is no such replica it is not answered.  SIGUSR1 stops the
- * primary.  Lines on standard input: "stop N" breaks the connections of
- * instance N and closes its port, "start N" lets it come back with its log,
- * "deaf N" and "hear N" let a replica receive nothing for a while, "dump"
- * prints the log.  Instance n is named
- * t<n>.  A transaction in which statements of two callers meet is printed as
- * a fault; a caller is what stands before the "-" of a statement's id.
+ * Instance N is named tN; t1 is the first primary.  A commit is replicated at
+ * once to every replica that is up, not paused and not cut off; the reply to
+ * the write or COMMIT waits until at least one replica has it.
+ *
+ * SIGUSR1 stops the primary.  With ADDRESS, commands are read from standard
+ * input, one a line:
+ *   stop N    closes the port and the connections of instance N
+ *   start N   opens the port again; the instance still has its log
+ *   deaf N    cuts the replication to instance N
+ *   hear N    resumes it
+ *   dump      prints the log
+ * The program exits at the end of the input.
+ *
+ * A statement's id is "CALLER-NUMBER".  If a statement of one caller arrives
+ * inside a transaction of another, a line that begins with FAULT is printed.
  */
 #include <arpa/inet.h>
 #include <inttypes.h>
@@ -34,6 +41,7 @@
 #define LINE_BYTES 256
 #define BUFFER_BYTES 4096
 
+/* A committed write; writes of one transaction have the same number. */
 struct log_entry
 {
   char item[64];
@@ -41,7 +49,7 @@
   uint64_t commit_number;
 };
 
-/* What orders on standard input may say. */
+/* Size of one command; up to eight are read at a time. */
 enum
 {
   COMMAND_BYTES = 64
@@ -51,8 +59,11 @@
 {
   int fd;
   bool up;
+  /* By the command "deaf". */
   bool replication_cut;
+  /* By the statement PAUSE, until RESUME or a promotion. */
   bool paused;
+  /* Position: the term and the last commit received. */
   uint64_t term;
   uint64_t received;
 };
@@ -62,12 +73,16 @@
   int fd;
   int instance;
   bool started;
+  /* I outside a transaction, T in one, E in a failed one. */
   char state;
+  /* Commit whose reply waits for a replica, or 0. */
   uint64_t awaited_commit;
+  /* Caller whose transaction is open. */
   char owner[OWNER_BYTES];
   bool read_only;
   struct log_entry tx_writes[16];
   size_t tx_write_count;
+  /* Prepared statements, "NAME TEXT". */
   char prepared[16][LINE_BYTES];
   size_t prepared_count;
   char input[BUFFER_BYTES];
@@ -81,6 +96,7 @@
 static size_t log_length;
 static const char *const *ports;
 static const char *address = "127.0.0.1";
+/* Index of the primary, -1 while there is none. */
 static int primary;
 static uint64_t term = 1;
 static uint64_t last_commit;
@@ -88,7 +104,7 @@
 static int promotion_fd;
 static uint64_t highest_fence;
 static volatile sig_atomic_t stop_primary;
-/* Whether orders come on standard input. */
+/* Whether commands are read from standard input. */
 static bool has_commands;
 
 static void
@@ -111,7 +127,7 @@
   if (bind (fd, (struct sockaddr *)&sa, sizeof sa) != 0
       || listen (fd, 64) != 0)
     {
-      perror ("group: listen");
+      perror ("group: cannot listen");
       exit (1);
     }
   return fd;
@@ -135,6 +151,8 @@
   send_text (c, line);
 }
 
+/* Ends a reply.  A statement that reads, writes or commits carries a proof
+   that it ran, distinct for each. */
 static void
 send_complete (const struct connection *c, bool with_proof)
 {
@@ -191,8 +209,8 @@
   return false;
 }
 
-/* Makes the writes of a connection a commit.  Return: whether it may be
-   answered now. */
+/* Commits the writes of a connection.  Return: whether the reply can be sent
+   now; otherwise complete_waiting_commits() sends it. */
 static bool
 commit (struct connection *c)
 {
@@ -219,7 +237,8 @@
       }
 }
 
-/* The new primary leads with what it has; later commits are gone. */
+/* Truncates the log to what the new primary has received.  Connections that
+   wait for a commit lost by this are closed without a reply. */
 static void
 truncate_log (uint64_t to)
 {
@@ -299,7 +318,7 @@
   send_complete (c, false);
 }
 
-/* Whether the instance's log has a position "TERM.NUMBER". */
+/* Whether the instance has reached the position "TERM.NUMBER". */
 static bool
 has_position (const struct connection *c, const char *text)
 {
@@ -391,7 +410,7 @@
     send_complete (c, false);
 }
 
-/* Statements of two callers must not meet in one transaction. */
+/* Reports a statement of one caller inside a transaction of another. */
 static void
 check_owner (struct connection *c, const char *id)
 {
@@ -402,7 +421,8 @@
     return;
   snprintf (owner, sizeof owner, "%.*s", (int)len, id);
   if (c->state == 'T' && *c->owner && strcmp (owner, c->owner) != 0)
-    printf ("FAULT %s inside a transaction of %s\n", owner, c->owner);
+    printf ("FAULT statement of caller %s inside a transaction of %s\n", owner,
+            c->owner);
   memcpy (c->owner, owner, sizeof owner);
 }
 
@@ -486,8 +506,10 @@
     close (fd);
 }
 
-/* One order on one connection: the fence is checked, the named instance
-   leads the next term with what it has. */
+/* Serves one promotion request on a connection of its own.  Rejects it if its
+   fencing token is lower than the highest seen or the instance is down;
+   otherwise the instance becomes primary of the next term with the log it
+   has, unless it is primary already, and paused replicas resume. */
 static void
 handle_promotion (void)
 {
@@ -520,11 +542,11 @@
       replicate ();
       answer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n"
                "Connection: close\r\n\r\n";
-      printf ("t%d leads term %" PRIu64 "\n", primary + 1, term);
+      printf ("t%d is primary in term %" PRIu64 "\n", primary + 1, term);
       fflush (stdout);
     }
   if (send (fd, answer, strlen (answer), MSG_NOSIGNAL) < 0)
-    perror ("group: send");
+    perror ("group: cannot send the promotion response");
   close (fd);
 }
 
--- a/tests/standin/target.c
+++ b/tests/standin/target.c
@@ -1,10 +1,24 @@
 /*
- * Stand-in target: one instance of a database group as a plain process.
- * It speaks the PostgreSQL frontend/backend protocol 3.0 (extended query
- * only), knows a few fixed statements over orders and stock, replicates its
- * log to its peers with a chosen lag, and can be promoted in a term.
- * Signals: USR1 cuts it off from its peers or joins it again, USR2 makes it
- * announce that it is leaving.  --record keeps all bytes it receives.
+ * Stand-in for a target: one instance of a database group as a process of
+ * its own.  It speaks the PostgreSQL frontend/backend protocol 3.0 (extended
+ * query only) and executes a few fixed statements on orders and stock.  A
+ * replica copies the primary's log and applies each entry after the chosen
+ * lag; coltsfootstage_promote() makes it the primary of a term.  With
+ * --announce it posts its state to hosts.
+ *
+ * SIGUSR1 disconnects it from its peers, or reconnects it.  SIGUSR2 makes it
+ * announce that it is leaving, or no longer.  --record FILE appends all bytes
+ * that it receives to FILE.
+ *
+ * Log entries are texts: "O ID TEAM ITEM QTY" is an order, "S ITEM QTY" a
+ * stock level, "K TEAM KEY REQUEST" and "R TEAM KEY RESULT" the recorded
+ * request and result of an idempotency key.
+ *
+ * Replication: a replica sends PEER_REQUEST to one peer after the other.  The
+ * primary sends "T TERM START" for each term of its history, then "G".  The
+ * replica truncates its log at the first term that is new to it and answers
+ * "P POSITION".  From there on the primary sends "O TERM ENTRY" for each
+ * entry, and "H" as heartbeat.
  */
 #include <arpa/inet.h>
 #include <errno.h>
@@ -37,12 +51,17 @@
 #define HEARTBEAT_INTERVAL_US 100000
 #define FOLLOWER_OUTPUT_MAX 65536
 
+/* What a connection is used for. */
 enum role
 {
   FREE,
+  /* Accepted: a session of the proxy, or a peer until its PEER_REQUEST. */
   CALLER,
+  /* Accepted: a replica that receives the log. */
   FOLLOWER,
+  /* Opened: to the peer whose log is copied. */
   UPSTREAM,
+  /* Opened: to a host, for one announcement. */
   ANNOUNCER
 };
 
@@ -57,23 +76,31 @@
 {
   enum role role;
   int fd;
+  /* skip_to_sync: after an error, ignores messages up to Sync. */
   bool started, closing, skip_to_sync, in_tx, failed, read_only, holds_slot;
-  int64_t due_at, busy_until;
+  /* CALLER: end of the connect delay; UPSTREAM, ANNOUNCER: time-out. */
+  int64_t due_at;
+  /* CALLER: end of the running statement; FOLLOWER: next heartbeat. */
+  int64_t busy_until;
   char *in, *out;
   size_t in_len, out_len;
   char sql[1024];
   char params[8][4096];
   bool null[8];
   int param_count;
+  /* Log entries of the open transaction. */
   char *pending[PENDING_MAX];
   int pending_count;
+  /* FOLLOWER: index of the next entry to send; UINT64_MAX until its answer. */
   uint64_t next_to_send;
   int peer;
 };
 
 static struct conn conns[CONNS_MAX];
 static struct log_entry log_entries[LOG_MAX];
+/* Number of entries in the log, and of those that reads see. */
 static uint64_t position, visible_position;
+/* History: each known term and the position at which it began. */
 static struct
 {
   uint64_t term, start;
@@ -87,6 +114,8 @@
 static int port = 5500, slots = 5, max_conns = 35, announce_index;
 static int record_fd = -1;
 static int64_t lag_us = 50000, service_us = 2000, connect_us = 12000;
+/* Order ids of all INSERTs executed, also of those that were not committed;
+   "SELECT seen" counts them, to find statements that ran twice. */
 static char *insert_attempts[LOG_MAX];
 static size_t insert_attempt_count;
 
@@ -178,7 +207,7 @@
   terms[term_count++].start = start;
 }
 
-/* The last committed op whose text starts with @prefix, or NULL. */
+/* The last visible entry whose text starts with @prefix, or NULL. */
 static const char *
 find_committed (const char *prefix)
 {
@@ -188,6 +217,7 @@
   return NULL;
 }
 
+/* Whether another open transaction wrote an entry that starts with @prefix. */
 static bool
 is_locked_by_other (const struct conn *self, const char *prefix)
 {
@@ -297,8 +327,8 @@
     add_term (t, position);
   visible_position = position;
   is_primary = true;
-  fprintf (stderr, "target: %s: leads in term %llu from %llu\n", name,
-           (unsigned long long)t, (unsigned long long)position);
+  fprintf (stderr, "target: %s: primary in term %llu from position %llu\n",
+           name, (unsigned long long)t, (unsigned long long)position);
   send_row_description (c, "promote");
   send_data_row (c, 1, v);
   send_command_complete (c, "SELECT 1");
@@ -313,6 +343,8 @@
   return true;
 }
 
+/* Adds @text to the open transaction.  @prefix is the row's key if it must not
+   exist yet, else NULL. */
 static void
 run_write (struct conn *c, const char *prefix, const char *text,
            const char *tag)
@@ -477,6 +509,7 @@
     send_error (c, "42601", "syntax error");
 }
 
+/* Statements on orders and stock take one of the slots for service_us. */
 static bool
 needs_slot (const struct conn *c)
 {
@@ -484,7 +517,8 @@
          && !strstr (c->sql, "seen");
 }
 
-/* Starts the statement's service; returns whether it is over. */
+/* Waits for a slot, then for the statement's service time.  Return: whether
+   the statement can be executed now. */
 static bool
 service_completed (struct conn *c)
 {
@@ -543,7 +577,7 @@
   append_message (c, 'Z', &state, 1);
 }
 
-/* Handles one message; returns false when it has to wait. */
+/* Handles one message.  Return: false if it must be retried later. */
 static bool
 handle_message (struct conn *c, char type, const char *body)
 {
@@ -592,6 +626,8 @@
   c->started = true;
 }
 
+/* Handles the first message of a connection.  Return: the bytes consumed, 0 if
+   the message is incomplete or the connect delay has not passed. */
 static size_t
 handle_startup (struct conn *c)
 {
@@ -659,7 +695,7 @@
   (void)used;
 }
 
-/* Line to a follower: its history first, then each op. */
+/* Sends a follower the history, then the log entries and heartbeats. */
 static void
 serve_follower (struct conn *c)
 {
@@ -683,7 +719,7 @@
       c->started = true;
       c->next_to_send = UINT64_MAX;
     }
-  /* The follower answers "P <position>" once it has rewound. */
+  /* The follower sends "P POSITION" once it has truncated its log. */
   if (c->next_to_send == UINT64_MAX && c->in_len
       && memchr (c->in, '\n', c->in_len))
     {
@@ -705,13 +741,15 @@
     }
 }
 
-/* History of the upstream while it is read. */
+/* History of the upstream, as far as it was received. */
 static struct
 {
   uint64_t term, start;
 } upstream_terms[TERMS_MAX];
 static int upstream_term_count;
 
+/* Truncates the log at the first term that this instance does not know,
+   becomes a replica and requests the entries from there on. */
 static void
 adopt_history (struct conn *c)
 {
@@ -734,6 +772,8 @@
   append_output (c, line, (size_t)n);
 }
 
+/* Disconnects at the end of the history if the upstream's last term is older,
+   or the same while this instance is primary. */
 static void
 handle_upstream_line (struct conn *c, char *line)
 {
@@ -777,6 +817,7 @@
     }
 }
 
+/* Connects to the next peer while there is no upstream. */
 static void
 connect_upstream (void)
 {
@@ -897,6 +938,7 @@
     close_conn (c);
 }
 
+/* On a replica, makes the entries visible that are older than the lag. */
 static void
 apply_lag (void)
 {
