--- a/tests/soak/fleet.c
+++ b/tests/soak/fleet.c
@@ -29,6 +29,7 @@
   bool wiped;
   int64_t resume_at;
   int64_t restart_at;
+  /* Last start or resume. */
   int64_t running_since;
 };
 
@@ -310,8 +311,7 @@
             "printf '\\001\\377x' >> \"$f\"; done; true",
             folder, p->name);
   if (system (command) == 0)
-    log_event ("%s killed, incomplete record appended to its log files",
-               p->name);
+    log_event ("%s: incomplete record appended to its log files", p->name);
 }
 
 static void
--- a/tests/soak/proxy.c
+++ b/tests/soak/proxy.c
@@ -68,6 +68,7 @@
 static struct listener listeners[LISTENERS_MAX];
 static size_t listener_count;
 static struct relay *relays[RELAYS_MAX];
+/* Guards the faults of the listeners, and the relays. */
 static pthread_mutex_t lock = PTHREAD_MUTEX_INITIALIZER;
 
 static struct sockaddr_in
