--- a/src/request/quota.c
+++ b/src/request/quota.c
@@ -232,22 +232,22 @@
 
 void
 cfs_quota_add_tokens (struct cfs_quota *q, const char *team,
-                      const struct cfs_quota_token_reply *a)
+                      const struct cfs_quota_token_reply *reply)
 {
   struct cfs_quota_team *t = cfs_table_add (&q->teams, team);
   struct cfs_quota_grant *g = &t->grants[t->next_grant];
 
   t->outstanding
-      -= a->requested < t->outstanding ? a->requested : t->outstanding;
-  if (a->count < a->requested)
-    t->next_request_at = a->sent_at + DENIAL_PAUSE_US;
-  if (a->authoritative && a->count < a->requested
-      && tokens_available (t, a->sent_at) + a->count < t->waiting)
-    t->denied_at = a->sent_at;
-  if (a->count == 0)
+      -= reply->requested < t->outstanding ? reply->requested : t->outstanding;
+  if (reply->count < reply->requested)
+    t->next_request_at = reply->sent_at + DENIAL_PAUSE_US;
+  if (reply->authoritative && reply->count < reply->requested
+      && tokens_available (t, reply->sent_at) + reply->count < t->waiting)
+    t->denied_at = reply->sent_at;
+  if (reply->count == 0)
     return;
-  g->count = a->count;
-  g->until = a->sent_at + TOKEN_LIFE_US;
+  g->count = reply->count;
+  g->until = reply->sent_at + TOKEN_LIFE_US;
   t->next_grant = (t->next_grant + 1) % QUOTA_GRANTS_MAX;
 }
 
--- a/src/request/quota.h
+++ b/src/request/quota.h
@@ -156,7 +156,7 @@
 
 /** cfs_quota_add_tokens() - applies the reply to a token request */
 void cfs_quota_add_tokens (struct cfs_quota *quota, const char *team,
-                           const struct cfs_quota_token_reply *answer);
+                           const struct cfs_quota_token_reply *reply);
 
 /**
  * cfs_quota_demand() - demand of a team at this host, operations per second
