--- a/src/request/entry_statement.c
+++ b/src/request/entry_statement.c
@@ -124,10 +124,10 @@
                   "allowed on a pooled connection";
       else if (!read_params (er, doc))
         problem
-            = "body: params: must be a list of at most 64 strings, numbers, "
+            = "body: params: expected a list of at most 64 strings, numbers, "
               "booleans and nulls";
       else if (!read_mode (er, doc))
-        problem = "body: mode: must be read or write";
+        problem = "body: mode: expected read or write";
       er->sql = cfs_strdup (cfs_json_string (doc, "sql", ""));
       er->request.max_age_us
           = (int64_t)cfs_json_number (doc, "max_age_ms", MAX_AGE_DEFAULT_MS)
