--- a/bench/bench_failover.c
+++ b/bench/bench_failover.c
@@ -23,7 +23,7 @@
 
   wc_run (w, 3 * CFS_US_PER_S + (int64_t)(seed % 300) * CFS_US_PER_MS);
   died = w->now;
-  wc_crash (w, (unsigned)wc_ready (w));
+  wc_crash (w, (unsigned)wc_find_leader (w));
   while (next < died && w->now < died + 10 * CFS_US_PER_S)
     {
       wc_run (w, WC_STEP_US);
@@ -80,7 +80,7 @@
       wg_run (w, PERIOD_US);
     }
   wg_run (w, 200 * CFS_US_PER_MS);
-  w->gap_us = 0;
+  w->max_ack_gap_us = 0;
   start = w->now;
   if (kill_gate)
     wg_host_kill (w, w->holder);
@@ -98,7 +98,7 @@
       submit (w);
       wg_run (w, PERIOD_US);
     }
-  bench_add (gap, (double)w->gap_us / CFS_US_PER_MS);
+  bench_add (gap, (double)w->max_ack_gap_us / CFS_US_PER_MS);
   bench_add (reads, read_gap_us (w, start) / CFS_US_PER_MS);
   wg_free (w);
 }
--- a/tests/unit/control_random.c
+++ b/tests/unit/control_random.c
@@ -33,7 +33,7 @@
 static bool
 is_whole (struct world_control *w)
 {
-  int leader = wc_ready (w);
+  int leader = wc_find_leader (w);
   const struct cfs_raft_membership *m;
   size_t voters = 0;
 
@@ -120,14 +120,14 @@
 {
   int holders = 0;
 
-  if (wc_ready (w) < 0)
+  if (wc_find_leader (w) < 0)
     return "no leader after healing";
   for (unsigned i = 0; i < WC_VOTERS; i++)
     if (w->hosts[i].state.version != w->accepted_count)
       return "a version is missing after healing";
   for (unsigned i = 0; i < WC_AGENTS; i++)
     {
-      holders += wc_acts_on (w, i, "gate/orders");
+      holders += wc_holds_lease (w, i, "gate/orders");
       if (w->agents[i].version != w->accepted_count)
         return "a version is not in force after healing";
     }
--- a/tests/unit/failover_random.c
+++ b/tests/unit/failover_random.c
@@ -22,21 +22,21 @@
 no_acknowledged_commit_is_lost (void **state)
 {
   (void)state;
-  assert_int_equal (seeds_failed (wsu_run_seed), 0);
+  assert_int_equal (seeds_failed (wf_run_seed), 0);
 }
 
 static void
 a_dead_primary_is_replaced_in_time (void **state)
 {
   (void)state;
-  wsu_start (3);
-  wsu_run (5 * CFS_US_PER_S);
-  assert_int_equal (wsu_changes (), 0);
-  wsu_kill (0);
-  wsu_run (CHANGE_MAX_US);
-  assert_int_equal (wsu_changes (), 1);
-  assert_null (wsu_fault ());
-  wsu_end ();
+  wf_start (3);
+  wf_run (5 * CFS_US_PER_S);
+  assert_int_equal (wf_failover_count (), 0);
+  wf_kill (0);
+  wf_run (CHANGE_MAX_US);
+  assert_int_equal (wf_failover_count (), 1);
+  assert_null (wf_violation ());
+  wf_end ();
 }
 
 /* One replica is out of reach: it may hold the only copy of a commit. */
@@ -44,17 +44,17 @@
 nothing_is_ordered_without_all_replicas (void **state)
 {
   (void)state;
-  wsu_start (4);
-  wsu_run (5 * CFS_US_PER_S);
-  wsu_cut (1, true);
-  wsu_kill (0);
-  wsu_run (8 * CFS_US_PER_S);
-  assert_int_equal (wsu_changes (), 0);
-  wsu_cut (1, false);
-  wsu_run (3 * CFS_US_PER_S);
-  assert_int_equal (wsu_changes (), 1);
-  assert_null (wsu_fault ());
-  wsu_end ();
+  wf_start (4);
+  wf_run (5 * CFS_US_PER_S);
+  wf_cut (1, true);
+  wf_kill (0);
+  wf_run (8 * CFS_US_PER_S);
+  assert_int_equal (wf_failover_count (), 0);
+  wf_cut (1, false);
+  wf_run (3 * CFS_US_PER_S);
+  assert_int_equal (wf_failover_count (), 1);
+  assert_null (wf_violation ());
+  wf_end ();
 }
 
 /* It answers the control leader and has as much as any other. */
@@ -62,13 +62,13 @@
 a_primary_that_hosts_cannot_use_is_replaced (void **state)
 {
   (void)state;
-  wsu_start (6);
-  wsu_run (5 * CFS_US_PER_S);
-  wsu_suspect (0);
-  wsu_run (CHANGE_MAX_US);
-  assert_in_range (wsu_primary (), 1, 2);
-  assert_null (wsu_fault ());
-  wsu_end ();
+  wf_start (6);
+  wf_run (5 * CFS_US_PER_S);
+  wf_suspect (0);
+  wf_run (CHANGE_MAX_US);
+  assert_in_range (wf_primary (), 1, 2);
+  assert_null (wf_violation ());
+  wf_end ();
 }
 
 static void
@@ -78,21 +78,21 @@
   const struct cfs_target *old;
 
   (void)state;
-  wsu_start (5);
+  wf_start (5);
   t.id = (char *)"t9";
   t.service = (char *)"db";
   t.address = (char *)"10.0.0.2:1";
   t.zone = (char *)"z";
   t.born = 2;
   t.sequence = 1;
-  assert_true (cfs_targets_apply (&wsu_state ()->targets, &t, 50));
-  old = cfs_table_find (&wsu_state ()->targets, "t2");
+  assert_true (cfs_targets_apply (&wf_state ()->targets, &t, 50));
+  old = cfs_table_find (&wf_state ()->targets, "t2");
   assert_true (old->gone);
   t.id = (char *)"t2";
   t.born = 1;
   t.sequence = 1;
-  assert_false (cfs_targets_apply (&wsu_state ()->targets, &t, 51));
-  wsu_end ();
+  assert_false (cfs_targets_apply (&wf_state ()->targets, &t, 51));
+  wf_end ();
 }
 
 int
--- a/tests/unit/failover_unknown.c
+++ b/tests/unit/failover_unknown.c
@@ -17,13 +17,13 @@
 {
   const char *fault;
 
-  wsu_start (seed);
-  wsu_run (3 * CFS_US_PER_S);
-  wsu_hide (2);
-  wsu_drain (0);
-  wsu_run (5 * CFS_US_PER_S);
-  fault = wsu_fault ();
-  wsu_end ();
+  wf_start (seed);
+  wf_run (3 * CFS_US_PER_S);
+  wf_unregister (2);
+  wf_drain (0);
+  wf_run (5 * CFS_US_PER_S);
+  fault = wf_violation ();
+  wf_end ();
   return fault == NULL;
 }
 
--- a/tests/unit/scenarios.c
+++ b/tests/unit/scenarios.c
@@ -159,7 +159,7 @@
              q->executed);
   else if (strcmp (c, "gap") == 0)
     fprintf (s->out, "gap between acknowledged writes %lld ms\n",
-             (long long)(w->gap_us / CFS_US_PER_MS));
+             (long long)(w->max_ack_gap_us / CFS_US_PER_MS));
   else if (strcmp (c, "check") == 0)
     fprintf (s->out, "check: %s\n", wg_check (w) ? wg_check (w) : "holds");
   else
@@ -171,7 +171,7 @@
 show_control (struct script *s)
 {
   struct world_control *w = s->control;
-  int leader = wc_ready (w);
+  int leader = wc_find_leader (w);
 
   fprintf (s->out, "%lld ms leader %s", (long long)(w->now / 1000),
            leader < 0 ? "none" : (const char *[]){ "c1", "c2", "c3" }[leader]);
@@ -180,7 +180,7 @@
       fprintf (s->out, ", c%u version %llu", i + 1,
                (unsigned long long)w->hosts[i].state.version);
   for (unsigned i = 0; i < WC_AGENTS; i++)
-    if (wc_acts_on (w, i, "gate/orders"))
+    if (wc_holds_lease (w, i, "gate/orders"))
       fprintf (s->out, ", h%u holds the gate", i + 1);
   if (w->fault)
     fprintf (s->out, ", fault: %s", w->fault);
@@ -201,7 +201,7 @@
 static void
 show_members (struct script *s)
 {
-  int leader = wc_ready (s->control);
+  int leader = wc_find_leader (s->control);
   const struct cfs_raft_membership *m;
 
   if (leader < 0)
@@ -221,7 +221,7 @@
 patch (struct script *s)
 {
   struct world_control *w = s->control;
-  long host = number (s, "host", wc_ready (w) + 1) - 1;
+  long host = number (s, "host", wc_find_leader (w) + 1) - 1;
   char text[128];
   bool taken;
 
@@ -237,7 +237,7 @@
 static void
 show_result (struct script *s)
 {
-  int leader = wc_ready (s->control);
+  int leader = wc_find_leader (s->control);
   const struct cfs_patch_result *r
       = leader < 0 ? NULL
                    : cfs_state_find_result (&s->control->hosts[leader].state,
@@ -258,7 +258,7 @@
   for (unsigned i = 0; i < count; i++)
     {
       char id[32];
-      int leader = wc_ready (w);
+      int leader = wc_find_leader (w);
 
       snprintf (id, sizeof id, "many-%llu",
                 (unsigned long long)w->next_request++);
@@ -282,7 +282,7 @@
   else if (strcmp (c, "crash") == 0)
     wc_crash (w, at);
   else if (strcmp (c, "crash-leader") == 0)
-    wc_crash (w, (unsigned)wc_ready (w));
+    wc_crash (w, (unsigned)wc_find_leader (w));
   else if (strcmp (c, "start") == 0)
     wc_start (w, at);
   else if (strcmp (c, "start-all") == 0)
--- a/tests/unit/session_random.c
+++ b/tests/unit/session_random.c
@@ -52,7 +52,7 @@
       ws_run (w, RUN_US);
       assert_null (ws_check_end (w));
       for (unsigned i = 1; i < w->op_count; i++)
-        assert_false (w->ops[i].promised);
+        assert_false (w->ops[i].reported_not_applied);
       ws_free (w);
     }
 }
--- a/tests/world/control.c
+++ b/tests/world/control.c
@@ -391,7 +391,7 @@
 }
 
 bool
-wc_acts_on (struct world_control *w, unsigned i, const char *resource)
+wc_holds_lease (struct world_control *w, unsigned i, const char *resource)
 {
   const struct wc_agent *a = &w->agents[i];
   const struct cfs_lease *l = cfs_table_find (&a->leases, resource);
@@ -415,7 +415,7 @@
       ready += h->alive && cfs_raft_leader_confirmed (h->raft, host_now (h));
     }
   for (unsigned i = 0; i < WC_AGENTS; i++)
-    holders += wc_acts_on (w, i, "gate/orders");
+    holders += wc_holds_lease (w, i, "gate/orders");
   if (ready > 1)
     fault (w, "two leaders are ready");
   if (holders > 1)
@@ -510,7 +510,7 @@
 }
 
 int
-wc_ready (struct world_control *w)
+wc_find_leader (struct world_control *w)
 {
   for (unsigned i = 0; i < WC_VOTERS; i++)
     if (w->hosts[i].alive
--- a/tests/world/control.h
+++ b/tests/world/control.h
@@ -96,8 +96,8 @@
 /** wc_lose_disk() - the disk of a stopped host is replaced by an empty one */
 void wc_lose_disk (struct world_control *w, unsigned host);
 
-/** wc_ready() - the control host that leads with a majority, or -1 */
-int wc_ready (struct world_control *w);
+/** wc_find_leader() - the control host that leads with a majority, or -1 */
+int wc_find_leader (struct world_control *w);
 
 /** wc_patch() - proposes a patch on a host; false when it does not lead */
 bool wc_patch (struct world_control *w, unsigned host, uint64_t base,
@@ -106,8 +106,8 @@
 /** wc_agent_restart() - a member host starts anew */
 void wc_agent_restart (struct world_control *w, unsigned agent);
 
-/** wc_acts_on() - whether a member host acts on a resource now */
-bool wc_acts_on (struct world_control *w, unsigned agent,
-                 const char *resource);
+/** wc_holds_lease() - whether a member host acts on a resource now */
+bool wc_holds_lease (struct world_control *w, unsigned agent,
+                     const char *resource);
 
 #endif
--- a/tests/world/failover.c
+++ b/tests/world/failover.c
@@ -520,7 +520,7 @@
 }
 
 void
-wsu_start (uint64_t seed)
+wf_start (uint64_t seed)
 {
   world = cfs_alloc (sizeof *world);
   world->seed = seed * UINT64_C (0x9E3779B97F4A7C15) + 1;
@@ -536,7 +536,7 @@
 }
 
 void
-wsu_end (void)
+wf_end (void)
 {
   cfs_failover_free (world->failover);
   for (struct fake_wire *k = world->wires; k; k = k->next)
@@ -547,7 +547,7 @@
 }
 
 void
-wsu_run (int64_t us)
+wf_run (int64_t us)
 {
   int64_t until = world->now + us;
 
@@ -556,18 +556,18 @@
 }
 
 bool
-wsu_run_seed (uint64_t seed)
+wf_run_seed (uint64_t seed)
 {
   const char *fault;
   uint64_t before;
 
-  wsu_start (seed);
+  wf_start (seed);
   world->faults = true;
-  wsu_run (FAULTS_US);
+  wf_run (FAULTS_US);
   heal ();
-  wsu_run (CALM_US);
+  wf_run (CALM_US);
   before = world->acked;
-  wsu_run (2 * CFS_US_PER_S);
+  wf_run (2 * CFS_US_PER_S);
   fault = world->fault;
   if (!fault && world->acked <= before)
     fault = "nothing is acknowledged once all is calm";
@@ -583,54 +583,54 @@
               (long long)(world->now / CFS_US_PER_MS));
   if (fault)
     printf ("seed %llu: %s\n", (unsigned long long)seed, fault);
-  wsu_end ();
+  wf_end ();
   return !fault;
 }
 
 void
-wsu_kill (unsigned i)
+wf_kill (unsigned i)
 {
   world->instances[i].alive = false;
 }
 
 void
-wsu_cut (unsigned i, bool cut)
+wf_cut (unsigned i, bool cut)
 {
   world->instances[i].cut = cut;
 }
 
 void
-wsu_suspect (unsigned i)
+wf_suspect (unsigned i)
 {
   world->instances[i].suspect = true;
 }
 
 int
-wsu_primary (void)
+wf_primary (void)
 {
   return primary_index ();
 }
 
 unsigned
-wsu_changes (void)
+wf_failover_count (void)
 {
   return world->changes;
 }
 
 const char *
-wsu_fault (void)
+wf_violation (void)
 {
   return world->fault;
 }
 
 struct cfs_state *
-wsu_state (void)
+wf_state (void)
 {
   return &world->state;
 }
 
 void
-wsu_hide (unsigned i)
+wf_unregister (unsigned i)
 {
   struct cfs_table *targets = &world->state.targets;
 
@@ -640,7 +640,7 @@
 }
 
 void
-wsu_drain (unsigned i)
+wf_drain (unsigned i)
 {
   struct cfs_target *t
       = cfs_table_find (&world->state.targets, world->instances[i].name);
--- a/tests/world/failover.h
+++ b/tests/world/failover.h
@@ -8,46 +8,46 @@
 #include "../../src/process/failover.h"
 
 /**
- * wsu_run_seed() - faults drawn from a seed, then a calm time
+ * wf_run_seed() - faults drawn from a seed, then a calm time
  *
  * Prints what failed.  Return: whether nothing did.
  */
-bool wsu_run_seed (uint64_t seed);
+bool wf_run_seed (uint64_t seed);
 
-/** wsu_start() - a group whose first instance leads, one leader, no faults */
-void wsu_start (uint64_t seed);
+/** wf_start() - a group whose first instance leads, one leader, no faults */
+void wf_start (uint64_t seed);
 
-/** wsu_end() - frees everything */
-void wsu_end (void);
+/** wf_end() - frees everything */
+void wf_end (void);
 
-/** wsu_run() - advances virtual time */
-void wsu_run (int64_t us);
+/** wf_run() - advances virtual time */
+void wf_run (int64_t us);
 
-/** wsu_kill() - an instance stops */
-void wsu_kill (unsigned instance);
+/** wf_kill() - an instance stops */
+void wf_kill (unsigned instance);
 
-/** wsu_cut() - the leader and hosts reach an instance, or do not */
-void wsu_cut (unsigned instance, bool cut);
+/** wf_cut() - the leader and hosts reach an instance, or do not */
+void wf_cut (unsigned instance, bool cut);
 
-/** wsu_suspect() - hosts cannot use an instance that the leader reaches */
-void wsu_suspect (unsigned instance);
+/** wf_suspect() - hosts cannot use an instance that the leader reaches */
+void wf_suspect (unsigned instance);
 
-/** wsu_primary() - the instance that leads, or -1 */
-int wsu_primary (void);
+/** wf_primary() - the instance that leads, or -1 */
+int wf_primary (void);
 
-/** wsu_hide() - an instance receives and has not announced itself yet */
-void wsu_hide (unsigned instance);
+/** wf_unregister() - an instance receives and has not announced itself yet */
+void wf_unregister (unsigned instance);
 
-/** wsu_drain() - an instance announced that it leaves */
-void wsu_drain (unsigned instance);
+/** wf_drain() - an instance announced that it leaves */
+void wf_drain (unsigned instance);
 
-/** wsu_changes() - number of changes of primary so far */
-unsigned wsu_changes (void);
+/** wf_failover_count() - number of changes of primary so far */
+unsigned wf_failover_count (void);
 
-/** wsu_fault() - a promise that was broken, or NULL */
-const char *wsu_fault (void);
+/** wf_violation() - a promise that was broken, or NULL */
+const char *wf_violation (void);
 
-/** wsu_state() - the replicated state */
-struct cfs_state *wsu_state (void);
+/** wf_state() - the replicated state */
+struct cfs_state *wf_state (void);
 
 #endif
--- a/tests/world/gate.c
+++ b/tests/world/gate.c
@@ -96,7 +96,7 @@
   h->generation[conn]++;
   for (unsigned i = 0; i < WG_INSTANCES; i++)
     memset (&h->world->inst[i].sessions[h->index][conn], 0,
-            sizeof (struct wg_session));
+            sizeof (struct wg_instance_conn));
 }
 
 static unsigned
@@ -129,7 +129,7 @@
   e->request = (int)((struct wg_request *)r->payload - h->world->requests);
 }
 
-static struct wg_seen *
+static struct wg_client_session *
 session_of (struct world_gate *w, const char *name)
 {
   for (int i = 0; i < w->seen_count; i++)
@@ -143,7 +143,7 @@
 static void
 advance_session (struct world_gate *w, struct wg_request *q)
 {
-  struct wg_seen *s;
+  struct wg_client_session *s;
 
   if (!*q->session || q->outcome != CFS_DONE || q->term == 0)
     return;
@@ -175,8 +175,8 @@
   q->replica = v->replica;
   if (!q->read && v->outcome == CFS_DONE)
     {
-      if (w->last_ack_at && w->now - w->last_ack_at > w->gap_us)
-        w->gap_us = w->now - w->last_ack_at;
+      if (w->last_ack_at && w->now - w->last_ack_at > w->max_ack_gap_us)
+        w->max_ack_gap_us = w->now - w->last_ack_at;
       w->last_ack_at = w->now;
     }
   say (w, "%s %s %s%s%s", q->name, cfs_outcome_name (v->outcome),
@@ -339,9 +339,9 @@
 static void
 commit_op (struct world_gate *w, struct wg_instance *in, int request)
 {
-  struct wg_op *op = &in->log[in->log_count++];
+  struct wg_log_entry *op = &in->log[in->log_count++];
 
-  if (in->log_count == WG_OPS)
+  if (in->log_count == WG_LOG_MAX)
     abort ();
   op->request = request;
   cfs_copy (op->key, sizeof op->key, w->requests[request].request.key);
@@ -352,8 +352,8 @@
 
 /* Runs work at an instance; returns how it ended. */
 static enum cfs_work_status
-execute (struct world_gate *w, struct wg_instance *in, struct wg_session *s,
-         const struct wg_event *e)
+execute (struct world_gate *w, struct wg_instance *in,
+         struct wg_instance_conn *s, const struct wg_event *e)
 {
   struct wg_request *q = &w->requests[e->request];
   bool writes = e->work == WORK_WRITE || e->work == WORK_KEYED_WRITE
@@ -394,7 +394,7 @@
 check_read (struct world_gate *w, const struct wg_instance *in,
             const struct wg_request *q)
 {
-  const struct wg_seen *s;
+  const struct wg_client_session *s;
 
   if (!*q->session)
     return;
@@ -428,7 +428,7 @@
 on_execute (struct world_gate *w, const struct wg_event *e)
 {
   struct wg_instance *in = &w->inst[e->inst];
-  struct wg_session *s = &in->sessions[e->host][e->conn];
+  struct wg_instance_conn *s = &in->sessions[e->host][e->conn];
   struct wg_host *h = &w->hosts[e->host];
   struct wg_event *r;
   struct cfs_work_result res = { .clean = true };
@@ -476,7 +476,7 @@
 static void
 on_connect (struct world_gate *w, const struct wg_event *e)
 {
-  struct wg_session *s = &w->inst[e->inst].sessions[e->host][e->conn];
+  struct wg_instance_conn *s = &w->inst[e->inst].sessions[e->host][e->conn];
   struct wg_event *r;
 
   memset (s, 0, sizeof *s);
--- a/tests/world/gate.h
+++ b/tests/world/gate.h
@@ -12,14 +12,14 @@
 
 #define WG_HOSTS 2
 #define WG_INSTANCES 3
-#define WG_OPS 4096
+#define WG_LOG_MAX 4096
 #define WG_CONNS (GATE_CONNECTIONS_MAX * GATE_INSTANCES_MAX)
 #define WG_REQUESTS 4096
 #define WG_EVENTS 8192
 #define WG_STEP_US 2000
 
-/** struct wg_op - one committed write at an instance */
-struct wg_op
+/** struct wg_log_entry - one committed write at an instance */
+struct wg_log_entry
 {
   int request;
   char key[CFS_KEY_MAX];
@@ -27,8 +27,8 @@
   int64_t at;
 };
 
-/** struct wg_session - what an open connection holds at an instance */
-struct wg_session
+/** struct wg_instance_conn - what an open connection holds at an instance */
+struct wg_instance_conn
 {
   bool open;
   char transaction[CFS_TRANSACTION_MAX];
@@ -43,10 +43,10 @@
   bool alive, frozen, isolated, leads, leaving;
   bool cut[WG_HOSTS];
   uint64_t term, start, log_count, visible;
-  struct wg_op log[WG_OPS];
+  struct wg_log_entry log[WG_LOG_MAX];
   int64_t lag_us, busy_until[16];
   unsigned slots;
-  struct wg_session sessions[WG_HOSTS][WG_CONNS];
+  struct wg_instance_conn sessions[WG_HOSTS][WG_CONNS];
 };
 
 /** struct wg_request - one request as its caller knows it */
@@ -63,8 +63,8 @@
   bool replica;
 };
 
-/** struct wg_seen - position that a session has seen */
-struct wg_seen
+/** struct wg_client_session - position that a session has seen */
+struct wg_client_session
 {
   char name[16];
   uint64_t term, position;
@@ -104,7 +104,7 @@
   struct wg_host hosts[WG_HOSTS];
   struct wg_request requests[WG_REQUESTS];
   int request_count;
-  struct wg_seen seen[16];
+  struct wg_client_session seen[16];
   int seen_count;
   struct wg_event events[WG_EVENTS];
   size_t event_count;
@@ -115,7 +115,7 @@
   int64_t service_us, rtt_us, connect_us;
   FILE *trace;
   char fault[160];
-  int64_t last_ack_at, gap_us;
+  int64_t last_ack_at, max_ack_gap_us;
 };
 
 /** wg_new() - instance 0 leads in term 1, host 0 holds the gate */
--- a/tests/world/sessions.c
+++ b/tests/world/sessions.c
@@ -14,7 +14,7 @@
 #define MAX_AGE_US (400 * CFS_US_PER_MS)
 #define TIMEOUT_US (300 * CFS_US_PER_MS)
 
-struct ws_statement
+struct ws_queued_statement
 {
   enum cfs_verb verb;
   unsigned id;
@@ -29,11 +29,11 @@
   struct cfs_reply reply;
 };
 
-struct ws_wire
+struct ws_conn
 {
   struct cfs_target_conn base;
   struct world_sessions *world;
-  struct ws_wire *next;
+  struct ws_conn *next;
   struct ws_instance *at;
   const struct cfs_target_conn_events *events;
   void *owner;
@@ -42,7 +42,7 @@
   bool dead;
   bool broken;
   int64_t opens_at;
-  struct ws_statement queue[WIRE_QUEUE];
+  struct ws_queued_statement queue[WIRE_QUEUE];
   size_t count;
   enum cfs_tx_state state;
   bool read_tx;
@@ -127,7 +127,7 @@
   w->ops[op].number = w->length;
   if (w->ops[op].effects > 1)
     fault (w, "a write took effect twice");
-  if (w->ops[op].promised)
+  if (w->ops[op].reported_not_applied)
     fault (w, "a write took effect after a promise");
   return true;
 }
@@ -152,7 +152,7 @@
   if (w->length > best->received)
     fault (w, "the world lost an acknowledged commit");
   w->told_at = w->now + (int64_t)draw (w, 200) * CFS_US_PER_MS;
-  for (struct ws_wire *k = w->wires; k; k = k->next)
+  for (struct ws_conn *k = w->wires; k; k = k->next)
     if (k->at == old && !k->read_tx && k->state != TX_IDLE)
       k->state = TX_FAILED;
 }
@@ -183,7 +183,7 @@
 
 /* Whether a read at this point sees all that it must. */
 static void
-check_fresh (struct world_sessions *w, const struct ws_wire *k,
+check_fresh (struct world_sessions *w, const struct ws_conn *k,
              const struct ws_caller *c)
 {
   const struct cfs_route *route = &w->fleet.catalog->routes[0];
@@ -205,7 +205,7 @@
 }
 
 static bool
-has_shape (const struct ws_wire *k, const char *name, const char *shape)
+has_shape (const struct ws_conn *k, const char *name, const char *shape)
 {
   char want[64];
 
@@ -218,9 +218,10 @@
 
 /* What must hold for each statement of a caller that runs. */
 static void
-check_run (struct world_sessions *w, struct ws_wire *k, struct ws_statement *s)
+check_run (struct world_sessions *w, struct ws_conn *k,
+           struct ws_queued_statement *s)
 {
-  struct ws_id *id = &w->ids[s->id];
+  struct ws_statement_info *id = &w->ids[s->id];
   struct ws_caller *c = &w->callers[id->caller];
   char team[16];
 
@@ -242,9 +243,10 @@
 }
 
 static enum cfs_reply_code
-run_work (struct world_sessions *w, struct ws_wire *k, struct ws_statement *s)
+run_work (struct world_sessions *w, struct ws_conn *k,
+          struct ws_queued_statement *s)
 {
-  struct ws_id *id = &w->ids[s->id];
+  struct ws_statement_info *id = &w->ids[s->id];
   struct ws_caller *c = &w->callers[id->caller];
   bool writes
       = s->verb == VERB_WRITE || (s->verb == VERB_EXECUTE && s->writes);
@@ -274,10 +276,10 @@
 }
 
 static enum cfs_reply_code
-run_commit (struct world_sessions *w, struct ws_wire *k,
-            struct ws_statement *s)
+run_commit (struct world_sessions *w, struct ws_conn *k,
+            struct ws_queued_statement *s)
 {
-  struct ws_id *id = &w->ids[s->id];
+  struct ws_statement_info *id = &w->ids[s->id];
   enum cfs_reply_code code = REPLY_OK;
 
   if (!w->ops[id->op].commit_asked)
@@ -293,7 +295,7 @@
 }
 
 static enum cfs_reply_code
-run_begin (struct ws_wire *k, const struct ws_statement *s)
+run_begin (struct ws_conn *k, const struct ws_queued_statement *s)
 {
   struct cfs_position have = position_of (k->at);
 
@@ -309,8 +311,8 @@
 }
 
 static void
-run_statement (struct world_sessions *w, struct ws_wire *k,
-               struct ws_statement *s)
+run_statement (struct world_sessions *w, struct ws_conn *k,
+               struct ws_queued_statement *s)
 {
   enum cfs_reply_code code = REPLY_OK;
 
@@ -355,13 +357,13 @@
 wire_send (struct cfs_target_conn *base, const struct cfs_statement *st,
            size_t count)
 {
-  struct ws_wire *k = (struct ws_wire *)base;
+  struct ws_conn *k = (struct ws_conn *)base;
   struct world_sessions *w = k->world;
   int64_t at = w->now + 500 + (int64_t)draw (w, 2000);
 
   for (size_t i = 0; i < count && k->count < WIRE_QUEUE; i++)
     {
-      struct ws_statement *s = &k->queue[k->count++];
+      struct ws_queued_statement *s = &k->queue[k->count++];
 
       if (k->count > 1 && k->queue[k->count - 2].arrives > at)
         at = k->queue[k->count - 2].arrives;
@@ -381,7 +383,7 @@
 static void
 wire_close (struct cfs_target_conn *base)
 {
-  struct ws_wire *k = (struct ws_wire *)base;
+  struct ws_conn *k = (struct ws_conn *)base;
 
   k->dead = true;
 }
@@ -393,7 +395,7 @@
            const struct cfs_target_conn_setup *setup)
 {
   struct world_sessions *w = the_world;
-  struct ws_wire *k = cfs_alloc (sizeof *k);
+  struct ws_conn *k = cfs_alloc (sizeof *k);
 
   (void)edge;
   k->base.ops = &wire_ops;
@@ -412,7 +414,7 @@
 }
 
 static void
-lose_wire (struct ws_wire *k)
+lose_wire (struct ws_conn *k)
 {
   k->dead = true;
   k->events->lost (k->owner, "scripted");
@@ -420,11 +422,11 @@
 
 /* Orders that were on their way when the wire was closed. */
 static void
-finish_dead (struct world_sessions *w, struct ws_wire *k)
+finish_dead (struct world_sessions *w, struct ws_conn *k)
 {
   for (size_t i = 0; i < k->count; i++)
     {
-      struct ws_statement *s = &k->queue[i];
+      struct ws_queued_statement *s = &k->queue[i];
 
       if (!s->ran && s->id && w->faults && draw (w, 3) == 0
           && w->now >= s->arrives
@@ -434,7 +436,7 @@
 }
 
 static void
-step_wire (struct world_sessions *w, struct ws_wire *k)
+step_wire (struct world_sessions *w, struct ws_conn *k)
 {
   if (!k->at->alive)
     {
@@ -455,7 +457,7 @@
   while (!k->dead && k->count && k->queue[0].ran
          && w->now >= k->queue[0].answers)
     {
-      struct ws_statement s = k->queue[0];
+      struct ws_queued_statement s = k->queue[0];
 
       if (s.lost)
         {
@@ -471,11 +473,11 @@
 static void
 sweep_wires (struct world_sessions *w)
 {
-  struct ws_wire **at = &w->wires;
+  struct ws_conn **at = &w->wires;
 
   while (*at)
     {
-      struct ws_wire *k = *at;
+      struct ws_conn *k = *at;
 
       if (!k->dead)
         {
@@ -517,7 +519,7 @@
     }
   if (is_promise (r->code))
     {
-      op->promised = true;
+      op->reported_not_applied = true;
       if (op->effects)
         fault (w, "a promise after a write took effect");
     }
@@ -654,7 +656,7 @@
 {
   struct world_sessions *w = c->world;
 
-  if (w->now < c->next_at || w->id_count > WS_IDS - 16)
+  if (w->now < c->next_at || w->id_count > WS_STATEMENTS_MAX - 16)
     return;
   if (c->session && w->faults && draw (w, 400) == 0)
     {
@@ -698,7 +700,7 @@
         i->lag_us = (int64_t)draw (w, 600) * CFS_US_PER_MS;
       break;
     case 2:
-      for (struct ws_wire *k = w->wires; k; k = k->next)
+      for (struct ws_conn *k = w->wires; k; k = k->next)
         if (!k->dead && draw (w, 4) == 0)
           lose_wire (k);
       break;
@@ -715,7 +717,7 @@
   tell_fleet (w);
   w->fleet.lease_until = w->now + CFS_US_PER_S;
   cfs_quota_renew (&w->quota, w->now + CFS_US_PER_S);
-  for (struct ws_wire *k = w->wires; k; k = k->next)
+  for (struct ws_conn *k = w->wires; k; k = k->next)
     if (!k->dead)
       step_wire (w, k);
   sweep_wires (w);
@@ -847,7 +849,7 @@
   if (w->served < 50)
     return "hardly anything was served";
   for (unsigned i = 1; i <= w->op_count; i++)
-    if (w->ops[i].promised && w->ops[i].effects)
+    if (w->ops[i].reported_not_applied && w->ops[i].effects)
       return "a promise was not kept";
   return NULL;
 }
--- a/tests/world/sessions.h
+++ b/tests/world/sessions.h
@@ -13,7 +13,7 @@
 
 #define WS_INSTANCES 3
 #define WS_CALLERS 6
-#define WS_IDS 8192
+#define WS_STATEMENTS_MAX 8192
 #define WS_COMMITS 4096
 
 /** struct ws_commit - one commit of the group's history */
@@ -36,8 +36,8 @@
   int64_t deaf_until;
 };
 
-/** struct ws_id - what is known of one statement of a caller */
-struct ws_id
+/** struct ws_statement_info - what is known of one statement of a caller */
+struct ws_statement_info
 {
   unsigned caller;
   unsigned op;
@@ -50,7 +50,7 @@
 {
   unsigned effects;
   uint64_t number;
-  bool promised;
+  bool reported_not_applied;
   bool succeeded;
   bool commit_asked;
 };
@@ -93,11 +93,11 @@
   struct ws_commit history[WS_COMMITS];
   uint64_t length;
   uint64_t term_start;
-  struct ws_id ids[WS_IDS];
-  struct ws_op ops[WS_IDS];
+  struct ws_statement_info ids[WS_STATEMENTS_MAX];
+  struct ws_op ops[WS_STATEMENTS_MAX];
   unsigned id_count;
   unsigned op_count;
-  struct ws_wire *wires;
+  struct ws_conn *wires;
   bool faults;
   int64_t told_at;
   unsigned served;
