--- a/tests/unit/control_random.c
+++ b/tests/unit/control_random.c
@@ -13,11 +13,11 @@
 
 #include <cmocka.h>
 
-#define EVENTS 40
-#define DRIFT_PPM 8000
+#define EVENT_COUNT 40
+#define DRIFT_MAX_PPM 8000
 
 static void
-patch_somewhere (struct world_control *w)
+propose_random_patch (struct world_control *w)
 {
   unsigned i = (unsigned)(cfs_random (&w->seed) % WC_VOTERS);
   uint64_t base
@@ -31,7 +31,7 @@
 /* Whether a disk may be lost now: all voters run, none is being repaired,
    and the repaired state is committed. */
 static bool
-is_whole (struct world_control *w)
+all_voters_caught_up (struct world_control *w)
 {
   int leader = wc_find_leader (w);
   const struct cfs_raft_membership *m;
@@ -86,7 +86,7 @@
       wc_agent_restart (w, a);
       break;
     case 9:
-      if (is_whole (w))
+      if (all_voters_caught_up (w))
         {
           wc_crash (w, i);
           wc_lose_disk (w, i);
@@ -94,7 +94,7 @@
         }
       break;
     default:
-      patch_somewhere (w);
+      propose_random_patch (w);
       break;
     }
 }
@@ -116,7 +116,7 @@
 
 /* After healing: a leader, a holder, and every host at the last version. */
 static const char *
-check_end (struct world_control *w)
+check_after_heal (struct world_control *w)
 {
   int holders = 0;
 
@@ -138,25 +138,25 @@
 run_seed (uint64_t seed)
 {
   struct world_control *w = wc_new (seed);
-  const char *fault;
+  const char *violation;
 
   w->loss_percent = (int)(seed % 10);
   w->duplicate_percent = 5;
   w->jitter_us = seed % 3 ? 2000 : 40000;
   for (unsigned i = 0; i < WC_VOTERS; i++)
-    w->hosts[i].drift_ppm = (int)(cfs_random (&w->seed) % DRIFT_PPM);
+    w->hosts[i].drift_ppm = (int)(cfs_random (&w->seed) % DRIFT_MAX_PPM);
   for (unsigned i = 0; i < WC_AGENTS; i++)
-    w->agents[i].drift_ppm = (int)(cfs_random (&w->seed) % DRIFT_PPM);
+    w->agents[i].drift_ppm = (int)(cfs_random (&w->seed) % DRIFT_MAX_PPM);
   wc_run (w, 4 * CFS_US_PER_S);
-  for (int i = 0; i < EVENTS && !w->fault; i++)
+  for (int i = 0; i < EVENT_COUNT && !w->fault; i++)
     {
       random_event (w);
       wc_run (w, (int64_t)(cfs_random (&w->seed) % 800000));
     }
   heal (w);
   wc_run (w, 12 * CFS_US_PER_S);
-  fault = w->fault ? w->fault : check_end (w);
-  if (fault && getenv ("TRACE"))
+  violation = w->fault ? w->fault : check_after_heal (w);
+  if (violation && getenv ("TRACE"))
     for (unsigned i = 0; i < WC_VOTERS; i++)
       {
         const struct cfs_raft_membership *m
@@ -175,14 +175,14 @@
                   m->at[k].voter ? "" : "(learner)");
         puts ("");
       }
-  if (fault)
-    printf ("seed %llu: %s\n", (unsigned long long)seed, fault);
+  if (violation)
+    printf ("seed %llu: %s\n", (unsigned long long)seed, violation);
   wc_free (w);
-  return !fault;
+  return !violation;
 }
 
 static void
-random_schedules_keep_the_invariants (void **state)
+invariants_hold_under_random_schedules (void **state)
 {
   (void)state;
   assert_int_equal (seeds_failed (run_seed), 0);
@@ -192,7 +192,7 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (random_schedules_keep_the_invariants) };
+      = { cmocka_unit_test (invariants_hold_under_random_schedules) };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/decoders.c
+++ b/tests/unit/decoders.c
@@ -19,8 +19,8 @@
 
 #include <cmocka.h>
 
-#define ROUNDS 20000
-#define BUFFER 4096
+#define MUTATIONS 20000
+#define BUFFER_BYTES 4096
 
 static const char settings_text[]
     = "{\"host\":\"e1\",\"zone\":\"a\",\"address\":\"127.0.0.1\","
@@ -65,7 +65,7 @@
 }
 
 static void
-settings_errors_name_file_path_found_and_allowed (void **state)
+settings_errors_name_file_field_value_and_expectation (void **state)
 {
   (void)state;
   expect_settings ("8101", "8101", NULL);
@@ -90,7 +90,7 @@
 }
 
 static void
-patches_merge_and_are_checked (void **state)
+patches_are_merged_and_validated (void **state)
 {
   GError *error = NULL;
   char *next;
@@ -114,7 +114,7 @@
 }
 
 static void
-keys_are_known_by_hash_only (void **state)
+api_keys_are_authenticated_by_hash (void **state)
 {
   unsigned char hash[CFS_HASH_BYTES];
   char hex[2 * CFS_HASH_BYTES + 1];
@@ -138,11 +138,11 @@
 }
 
 static void
-altered_tokens_are_refused (void **state)
+altered_tokens_are_rejected (void **state)
 {
   unsigned char key[TOKEN_KEY_BYTES];
   struct cfs_token t = { .team = "a" };
-  struct cfs_token back;
+  struct cfs_token decoded;
   char text[TOKEN_TEXT_MAX];
 
   (void)state;
@@ -152,24 +152,24 @@
   assert_int_equal (cfs_token_advance (&t, "orders", 1, 90), CFS_OK);
   assert_int_equal (cfs_token_advance (&t, "stock", 1, 5), CFS_OK);
   cfs_token_write (&t, key, text);
-  assert_int_equal (cfs_token_read (text, key, &back), CFS_OK);
-  assert_string_equal (back.team, "a");
-  assert_int_equal (cfs_token_find (&back, "orders")->term, 2);
-  assert_int_equal (cfs_token_find (&back, "orders")->position, 40);
+  assert_int_equal (cfs_token_read (text, key, &decoded), CFS_OK);
+  assert_string_equal (decoded.team, "a");
+  assert_int_equal (cfs_token_find (&decoded, "orders")->term, 2);
+  assert_int_equal (cfs_token_find (&decoded, "orders")->position, 40);
   for (size_t i = 0; text[i]; i++)
     {
-      char kept = text[i];
+      char original = text[i];
 
-      text[i] = kept == 'A' ? 'B' : 'A';
-      assert_int_equal (cfs_token_read (text, key, &back), CFS_BAD);
-      text[i] = kept;
+      text[i] = original == 'A' ? 'B' : 'A';
+      assert_int_equal (cfs_token_read (text, key, &decoded), CFS_BAD);
+      text[i] = original;
     }
   cfs_token_derive_key ("another secret", key);
-  assert_int_equal (cfs_token_read (text, key, &back), CFS_BAD);
+  assert_int_equal (cfs_token_read (text, key, &decoded), CFS_BAD);
 }
 
 static void
-session_statements_are_refused (void **state)
+statements_that_change_session_state_are_rejected (void **state)
 {
   (void)state;
   assert_true (cfs_sql_allowed ("SELECT 1"));
@@ -186,7 +186,7 @@
 static size_t
 mutate (uint64_t *seed, const char *from, size_t len, char *to)
 {
-  size_t n = len < BUFFER / 2 ? len : BUFFER / 2;
+  size_t n = len < BUFFER_BYTES / 2 ? len : BUFFER_BYTES / 2;
 
   memcpy (to, from, n);
   for (uint64_t k = cfs_random (seed) % 6 + 1; k > 0 && n > 1; k--)
@@ -205,7 +205,7 @@
           to[at] = "{}[]\",:0-e\\"[cfs_random (seed) % 11];
           break;
         default:
-          if (n + (n - at) < BUFFER)
+          if (n + (n - at) < BUFFER_BYTES)
             {
               memmove (to + at + (n - at), to + at, n - at);
               n += n - at;
@@ -213,8 +213,8 @@
           break;
         }
     }
-  if (n >= BUFFER)
-    n = BUFFER - 1;
+  if (n >= BUFFER_BYTES)
+    n = BUFFER_BYTES - 1;
   to[n] = '\0';
   return n;
 }
@@ -225,15 +225,15 @@
   unsigned char key[TOKEN_KEY_BYTES] = { 1 };
   struct cfs_token token = { .team = "a" };
   char token_text[TOKEN_TEXT_MAX];
-  char buffer[BUFFER];
+  char buffer[BUFFER_BYTES];
   uint64_t seed = 42;
 
   (void)state;
   cfs_token_write (&token, key, token_text);
-  for (int i = 0; i < ROUNDS; i++)
+  for (int i = 0; i < MUTATIONS; i++)
     {
       struct cfs_settings *s;
-      struct cfs_token back;
+      struct cfs_token decoded;
 
       mutate (&seed, settings_text, strlen (settings_text), buffer);
       s = cfs_settings_parse (buffer, "f", NULL);
@@ -242,7 +242,7 @@
       cfs_conf_free (cfs_conf_parse (buffer, 1, NULL));
       free (cfs_conf_patch (conf_text, buffer, NULL));
       mutate (&seed, token_text, strlen (token_text), buffer);
-      cfs_token_read (buffer, key, &back);
+      cfs_token_read (buffer, key, &decoded);
       cfs_sql_allowed (buffer);
     }
 }
@@ -251,20 +251,20 @@
 mutated_messages_never_crash (void **state)
 {
   Cfs__Peer peer = CFS__PEER__INIT;
-  Cfs__Execute x = CFS__EXECUTE__INIT;
+  Cfs__Execute execute = CFS__EXECUTE__INIT;
   Cfs__Command cmd = CFS__COMMAND__INIT;
   Cfs__Patch patch = CFS__PATCH__INIT;
-  char packed[2][BUFFER / 2];
+  char packed[2][BUFFER_BYTES / 2];
   size_t len[2];
-  char buffer[BUFFER];
+  char buffer[BUFFER_BYTES];
   uint64_t seed = 43;
   struct cfs_state s;
 
   (void)state;
-  x.group = "orders";
-  x.sql = "SELECT 1";
+  execute.group = "orders";
+  execute.sql = "SELECT 1";
   peer.body_case = CFS__PEER__BODY_EXECUTE;
-  peer.execute = &x;
+  peer.execute = &execute;
   len[0] = cfs__peer__pack (&peer, (uint8_t *)packed[0]);
   patch.patch = (char *)conf_text;
   patch.request_id = "r";
@@ -272,13 +272,13 @@
   cmd.patch = &patch;
   len[1] = cfs__command__pack (&cmd, (uint8_t *)packed[1]);
   cfs_state_init (&s);
-  for (int i = 0; i < ROUNDS; i++)
+  for (int i = 0; i < MUTATIONS; i++)
     {
       size_t n = mutate (&seed, packed[0], len[0], buffer);
-      Cfs__Peer *got = cfs__peer__unpack (NULL, n, (uint8_t *)buffer);
+      Cfs__Peer *decoded_peer = cfs__peer__unpack (NULL, n, (uint8_t *)buffer);
 
-      if (got)
-        cfs__peer__free_unpacked (got, NULL);
+      if (decoded_peer)
+        cfs__peer__free_unpacked (decoded_peer, NULL);
       n = mutate (&seed, packed[1], len[1], buffer);
       cfs_state_apply (&s, (uint8_t *)buffer, n, (uint64_t)i);
       if (cfs_state_restore (&s, (uint8_t *)buffer, n) == CFS_OK)
@@ -311,7 +311,7 @@
 {
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__HeartbeatReply reply = CFS__HEARTBEAT_REPLY__INIT;
-  char buffer[BUFFER];
+  char buffer[BUFFER_BYTES];
   uint64_t seed = 11;
   Cfs__Peer *in;
   uint8_t *data;
@@ -329,10 +329,10 @@
   cfs__peer__free_unpacked (in, NULL);
   for (size_t cut = 1; cut < len; cut += 97)
     assert_null (cfs_message_decode (data, len - cut));
-  for (int i = 0; i < ROUNDS / 10; i++)
+  for (int i = 0; i < MUTATIONS / 10; i++)
     {
-      size_t n = mutate (&seed, (char *)data, len < BUFFER ? len : BUFFER / 2,
-                         buffer);
+      size_t n = mutate (&seed, (char *)data,
+                         len < BUFFER_BYTES ? len : BUFFER_BYTES / 2, buffer);
 
       in = cfs_message_decode ((uint8_t *)buffer, n);
       if (in)
@@ -345,15 +345,16 @@
 int
 main (void)
 {
-  const struct CMUnitTest tests[]
-      = { cmocka_unit_test (settings_errors_name_file_path_found_and_allowed),
-          cmocka_unit_test (patches_merge_and_are_checked),
-          cmocka_unit_test (keys_are_known_by_hash_only),
-          cmocka_unit_test (altered_tokens_are_refused),
-          cmocka_unit_test (large_messages_are_compressed),
-          cmocka_unit_test (session_statements_are_refused),
-          cmocka_unit_test (mutated_texts_never_crash),
-          cmocka_unit_test (mutated_messages_never_crash) };
+  const struct CMUnitTest tests[] = {
+    cmocka_unit_test (settings_errors_name_file_field_value_and_expectation),
+    cmocka_unit_test (patches_are_merged_and_validated),
+    cmocka_unit_test (api_keys_are_authenticated_by_hash),
+    cmocka_unit_test (altered_tokens_are_rejected),
+    cmocka_unit_test (large_messages_are_compressed),
+    cmocka_unit_test (statements_that_change_session_state_are_rejected),
+    cmocka_unit_test (mutated_texts_never_crash),
+    cmocka_unit_test (mutated_messages_never_crash)
+  };
 
   if (sodium_init () < 0)
     return 1;
--- a/tests/unit/disk.c
+++ b/tests/unit/disk.c
@@ -15,13 +15,13 @@
 
 #include <cmocka.h>
 
-#define FRESH_ID 77
-#define FOLDER_BYTES 64
+#define NEW_MEMBER_ID 77
+#define FOLDER_PATH_BYTES 64
 
 static void
 make_folder (char *folder)
 {
-  snprintf (folder, FOLDER_BYTES, "/tmp/coltsfootstage-disk.XXXXXX");
+  snprintf (folder, FOLDER_PATH_BYTES, "/tmp/coltsfootstage-disk.XXXXXX");
   assert_non_null (mkdtemp (folder));
 }
 
@@ -41,29 +41,29 @@
 }
 
 static void
-free_boot (struct cfs_raft_initial_state *boot)
+free_initial_state (struct cfs_raft_initial_state *initial)
 {
-  for (size_t i = 0; i < boot->count; i++)
-    free (boot->entries[i].data);
-  free (boot->entries);
-  free (boot->snapshot.data);
+  for (size_t i = 0; i < initial->count; i++)
+    free (initial->entries[i].data);
+  free (initial->entries);
+  free (initial->snapshot.data);
 }
 
 static struct cfs_disk *
-open_disk (const char *folder, struct cfs_raft_initial_state *boot)
+open_disk (const char *folder, struct cfs_raft_initial_state *initial)
 {
   GError *error = NULL;
   struct cfs_disk *d;
 
-  memset (boot, 0, sizeof *boot);
-  d = cfs_disk_open (folder, boot, FRESH_ID, &error);
+  memset (initial, 0, sizeof *initial);
+  d = cfs_disk_open (folder, initial, NEW_MEMBER_ID, &error);
   if (error)
     g_error_free (error);
   return d;
 }
 
 static void
-append_some (struct cfs_disk *d, uint64_t first, unsigned count)
+append_entries (struct cfs_disk *d, uint64_t first, unsigned count)
 {
   for (unsigned i = 0; i < count; i++)
     {
@@ -85,11 +85,11 @@
 }
 
 static void
-torn_tail_is_cut_at_every_byte (void **state)
+a_log_tail_torn_at_any_byte_is_removed (void **state)
 {
-  char folder[FOLDER_BYTES];
+  char folder[FOLDER_PATH_BYTES];
   char path[128];
-  struct cfs_raft_initial_state boot;
+  struct cfs_raft_initial_state initial;
   off_t before;
   off_t after;
 
@@ -99,43 +99,43 @@
       struct cfs_disk *d;
 
       make_folder (folder);
-      d = open_disk (folder, &boot);
-      append_some (d, 1, 3);
+      d = open_disk (folder, &initial);
+      append_entries (d, 1, 3);
       before = log_size (folder, path);
-      append_some (d, 4, 1);
+      append_entries (d, 4, 1);
       after = log_size (folder, path);
       cfs_disk_close (d);
       if (before + cut >= after)
         break;
       assert_int_equal (truncate (path, before + cut), 0);
-      d = open_disk (folder, &boot);
+      d = open_disk (folder, &initial);
       assert_non_null (d);
-      assert_int_equal (boot.count, 3);
-      append_some (d, 4, 1);
+      assert_int_equal (initial.count, 3);
+      append_entries (d, 4, 1);
       cfs_disk_close (d);
-      free_boot (&boot);
-      d = open_disk (folder, &boot);
-      assert_int_equal (boot.count, 4);
+      free_initial_state (&initial);
+      d = open_disk (folder, &initial);
+      assert_int_equal (initial.count, 4);
       cfs_disk_close (d);
-      free_boot (&boot);
+      free_initial_state (&initial);
       remove_folder (folder);
     }
   remove_folder (folder);
 }
 
 static void
-damage_in_the_middle_stops_the_host (void **state)
+corruption_before_the_tail_is_an_error (void **state)
 {
-  char folder[FOLDER_BYTES];
+  char folder[FOLDER_PATH_BYTES];
   char path[128];
-  struct cfs_raft_initial_state boot;
+  struct cfs_raft_initial_state initial;
   struct cfs_disk *d;
   off_t size;
 
   (void)state;
   make_folder (folder);
-  d = open_disk (folder, &boot);
-  append_some (d, 1, 3);
+  d = open_disk (folder, &initial);
+  append_entries (d, 1, 3);
   cfs_disk_close (d);
   size = log_size (folder, path);
   for (off_t at = 0; at < size * 2 / 3; at++)
@@ -146,8 +146,8 @@
       assert_int_equal (pread (fd, &byte, 1, at), 1);
       byte = (char)~byte;
       assert_int_equal (pwrite (fd, &byte, 1, at), 1);
-      assert_null (open_disk (folder, &boot));
-      free_boot (&boot);
+      assert_null (open_disk (folder, &initial));
+      free_initial_state (&initial);
       byte = (char)~byte;
       assert_int_equal (pwrite (fd, &byte, 1, at), 1);
       close (fd);
@@ -156,10 +156,10 @@
 }
 
 static void
-snapshot_vote_and_truncation_come_back (void **state)
+snapshot_vote_and_truncation_are_durable (void **state)
 {
-  char folder[FOLDER_BYTES];
-  struct cfs_raft_initial_state boot;
+  char folder[FOLDER_PATH_BYTES];
+  struct cfs_raft_initial_state initial;
   struct cfs_raft_snapshot s = { .index = 4, .term = 3, .len = 5 };
   struct cfs_disk *d;
 
@@ -170,35 +170,35 @@
   s.members.at[0].voter = true;
   cfs_copy (s.members.at[0].host, CFS_NAME_MAX, "c1");
   make_folder (folder);
-  d = open_disk (folder, &boot);
-  assert_int_equal (boot.id, FRESH_ID);
-  append_some (d, 1, 8);
+  d = open_disk (folder, &initial);
+  assert_int_equal (initial.id, NEW_MEMBER_ID);
+  append_entries (d, 1, 8);
   assert_int_equal (cfs_disk_save_snapshot (d, &s), CFS_OK);
   assert_int_equal (cfs_disk_truncate (d, 7), CFS_OK);
-  append_some (d, 7, 1);
+  append_entries (d, 7, 1);
   assert_int_equal (cfs_disk_save_vote (d, 6, 9), CFS_OK);
   cfs_disk_append_audit (d, "{\"version\":12,\"from\":11}\n");
   assert_int_equal (cfs_disk_last_audited_version (d), 12);
   cfs_disk_close (d);
-  d = open_disk (folder, &boot);
-  assert_int_equal (boot.snapshot.index, 4);
-  assert_memory_equal (boot.snapshot.data, "image", 5);
-  assert_string_equal (boot.snapshot.members.at[0].host, "c1");
-  assert_int_equal (boot.count, 3);
-  assert_int_equal (boot.entries[0].index, 5);
-  assert_int_equal (boot.term, 6);
-  assert_int_equal (boot.vote, 9);
+  d = open_disk (folder, &initial);
+  assert_int_equal (initial.snapshot.index, 4);
+  assert_memory_equal (initial.snapshot.data, "image", 5);
+  assert_string_equal (initial.snapshot.members.at[0].host, "c1");
+  assert_int_equal (initial.count, 3);
+  assert_int_equal (initial.entries[0].index, 5);
+  assert_int_equal (initial.term, 6);
+  assert_int_equal (initial.vote, 9);
   cfs_disk_close (d);
-  free_boot (&boot);
+  free_initial_state (&initial);
   remove_folder (folder);
 }
 
 static void
-a_folder_in_use_is_not_formatted (void **state)
+an_initialized_folder_is_not_formatted_again (void **state)
 {
-  char folder[FOLDER_BYTES];
+  char folder[FOLDER_PATH_BYTES];
   struct cfs_raft_membership members = { .count = 0 };
-  struct cfs_raft_initial_state boot;
+  struct cfs_raft_initial_state initial;
   GError *error = NULL;
 
   (void)state;
@@ -206,9 +206,9 @@
   assert_true (cfs_disk_format (folder, 5, &members, &error));
   assert_false (cfs_disk_format (folder, 5, &members, &error));
   g_error_free (error);
-  cfs_disk_close (open_disk (folder, &boot));
-  assert_int_equal (boot.id, 5);
-  free_boot (&boot);
+  cfs_disk_close (open_disk (folder, &initial));
+  assert_int_equal (initial.id, 5);
+  free_initial_state (&initial);
   remove_folder (folder);
 }
 
@@ -216,10 +216,10 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (torn_tail_is_cut_at_every_byte),
-          cmocka_unit_test (damage_in_the_middle_stops_the_host),
-          cmocka_unit_test (snapshot_vote_and_truncation_come_back),
-          cmocka_unit_test (a_folder_in_use_is_not_formatted) };
+      = { cmocka_unit_test (a_log_tail_torn_at_any_byte_is_removed),
+          cmocka_unit_test (corruption_before_the_tail_is_an_error),
+          cmocka_unit_test (snapshot_vote_and_truncation_are_durable),
+          cmocka_unit_test (an_initialized_folder_is_not_formatted_again) };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/failover_random.c
+++ b/tests/unit/failover_random.c
@@ -16,24 +16,24 @@
 #include <cmocka.h>
 
 /* Time from a dead primary to the next, with the control group whole. */
-#define CHANGE_MAX_US (4 * CFS_US_PER_S)
+#define FAILOVER_MAX_US (4 * CFS_US_PER_S)
 
 static void
-no_acknowledged_commit_is_lost (void **state)
+acknowledged_commits_survive_random_failovers (void **state)
 {
   (void)state;
   assert_int_equal (seeds_failed (wf_run_seed), 0);
 }
 
 static void
-a_dead_primary_is_replaced_in_time (void **state)
+a_failed_primary_is_replaced_in_time (void **state)
 {
   (void)state;
   wf_start (3);
   wf_run (5 * CFS_US_PER_S);
   assert_int_equal (wf_failover_count (), 0);
   wf_kill (0);
-  wf_run (CHANGE_MAX_US);
+  wf_run (FAILOVER_MAX_US);
   assert_int_equal (wf_failover_count (), 1);
   assert_null (wf_violation ());
   wf_end ();
@@ -41,7 +41,7 @@
 
 /* One replica is out of reach: it may hold the only copy of a commit. */
 static void
-nothing_is_ordered_without_all_replicas (void **state)
+no_promotion_while_a_replica_is_unreachable (void **state)
 {
   (void)state;
   wf_start (4);
@@ -59,20 +59,20 @@
 
 /* It answers the control leader and has as much as any other. */
 static void
-a_primary_that_hosts_cannot_use_is_replaced (void **state)
+a_primary_that_hosts_suspect_is_replaced (void **state)
 {
   (void)state;
   wf_start (6);
   wf_run (5 * CFS_US_PER_S);
   wf_suspect (0);
-  wf_run (CHANGE_MAX_US);
+  wf_run (FAILOVER_MAX_US);
   assert_in_range (wf_primary (), 1, 2);
   assert_null (wf_violation ());
   wf_end ();
 }
 
 static void
-an_earlier_instance_at_an_address_is_gone (void **state)
+an_older_instance_at_the_same_address_is_removed (void **state)
 {
   Cfs__Target t = CFS__TARGET__INIT;
   const struct cfs_target *old;
@@ -99,11 +99,11 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (an_earlier_instance_at_an_address_is_gone),
-          cmocka_unit_test (a_dead_primary_is_replaced_in_time),
-          cmocka_unit_test (a_primary_that_hosts_cannot_use_is_replaced),
-          cmocka_unit_test (nothing_is_ordered_without_all_replicas),
-          cmocka_unit_test (no_acknowledged_commit_is_lost) };
+      = { cmocka_unit_test (an_older_instance_at_the_same_address_is_removed),
+          cmocka_unit_test (a_failed_primary_is_replaced_in_time),
+          cmocka_unit_test (a_primary_that_hosts_suspect_is_replaced),
+          cmocka_unit_test (no_promotion_while_a_replica_is_unreachable),
+          cmocka_unit_test (acknowledged_commits_survive_random_failovers) };
 
   cfs_log_open ("test", getenv ("TRACE") ? CFS_INFO : CFS_ERR);
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/unit/failover_unknown.c
+++ b/tests/unit/failover_unknown.c
@@ -15,20 +15,20 @@
 static bool
 run_seed (uint64_t seed)
 {
-  const char *fault;
+  const char *violation;
 
   wf_start (seed);
   wf_run (3 * CFS_US_PER_S);
   wf_unregister (2);
   wf_drain (0);
   wf_run (5 * CFS_US_PER_S);
-  fault = wf_violation ();
+  violation = wf_violation ();
   wf_end ();
-  return fault == NULL;
+  return violation == NULL;
 }
 
 static void
-no_acknowledged_commit_is_lost (void **state)
+planned_failover_keeps_acknowledged_commits (void **state)
 {
   (void)state;
   assert_int_equal (seeds_failed (run_seed), 0);
@@ -38,7 +38,7 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (no_acknowledged_commit_is_lost) };
+      = { cmocka_unit_test (planned_failover_keeps_acknowledged_commits) };
 
   cfs_log_open ("test", getenv ("TRACE") ? CFS_INFO : CFS_ERR);
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/unit/gate_random.c
+++ b/tests/unit/gate_random.c
@@ -13,8 +13,8 @@
 
 #include <cmocka.h>
 
-#define EVENTS 25
-#define DRIFT_PPM 8000
+#define EVENT_COUNT 25
+#define DRIFT_MAX_PPM 8000
 
 static void
 random_request (struct world_gate *w, int n)
@@ -41,7 +41,7 @@
 
 /* Callers go on with their transactions and repeat unsure keyed writes. */
 static void
-follow_up (struct world_gate *w)
+continue_callers (struct world_gate *w)
 {
   int count = w->request_count;
 
@@ -121,37 +121,37 @@
 run_seed (uint64_t seed)
 {
   struct world_gate *w = wg_new (seed, getenv ("TRACE") ? stdout : NULL);
-  const char *fault;
+  const char *violation;
   int n = 0;
 
   for (unsigned i = 0; i < WG_HOSTS; i++)
-    w->hosts[i].drift_ppm = (int)(cfs_random (&w->seed) % DRIFT_PPM);
+    w->hosts[i].drift_ppm = (int)(cfs_random (&w->seed) % DRIFT_MAX_PPM);
   w->inst[2].lag_us = seed % 4 ? 50000 : 2 * CFS_US_PER_S;
-  for (int e = 0; e < EVENTS && !*w->fault; e++)
+  for (int e = 0; e < EVENT_COUNT && !*w->fault; e++)
     {
       random_event (w);
       for (int k = 0; k < 12; k++)
         {
           random_request (w, n++);
           wg_run (w, (int64_t)(cfs_random (&w->seed) % 60000));
-          follow_up (w);
+          continue_callers (w);
         }
     }
   wg_heal (w);
   for (unsigned i = 0; i < WG_INSTANCES; i++)
     w->inst[i].leaving = false;
   wg_run (w, 10 * CFS_US_PER_S);
-  fault = wg_check (w);
-  if (!fault && !cfs_gate_serving (w->hosts[w->holder].gate, w->now))
-    fault = "writes are not served after healing";
-  if (fault)
-    printf ("seed %llu: %s\n", (unsigned long long)seed, fault);
+  violation = wg_check (w);
+  if (!violation && !cfs_gate_serving (w->hosts[w->holder].gate, w->now))
+    violation = "writes are not served after healing";
+  if (violation)
+    printf ("seed %llu: %s\n", (unsigned long long)seed, violation);
   wg_free (w);
-  return !fault;
+  return !violation;
 }
 
 static void
-random_schedules_keep_the_promises (void **state)
+guarantees_hold_under_random_schedules (void **state)
 {
   (void)state;
   assert_int_equal (seeds_failed (run_seed), 0);
@@ -161,7 +161,7 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (random_schedules_keep_the_promises) };
+      = { cmocka_unit_test (guarantees_hold_under_random_schedules) };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/leader.c
+++ b/tests/unit/leader.c
@@ -11,10 +11,10 @@
 
 #include <cmocka.h>
 
-#define STEP (100 * CFS_US_PER_MS)
+#define TICK_US (100 * CFS_US_PER_MS)
 
 /* A log of one packed command that waits to be applied. */
-struct fake
+struct fixture
 {
   struct cfs_state state;
   struct cfs_leader *leader;
@@ -27,7 +27,7 @@
 static uint64_t
 propose (void *ctx, const uint8_t *data, size_t len)
 {
-  struct fake *f = ctx;
+  struct fixture *f = ctx;
 
   assert_true (len <= sizeof f->data);
   memcpy (f->data, data, len);
@@ -38,7 +38,7 @@
 static const struct cfs_leader_ops ops = { propose };
 
 static void
-apply (struct fake *f)
+apply (struct fixture *f)
 {
   if (f->applied < f->index)
     cfs_state_apply (&f->state, f->data, f->len, f->index);
@@ -46,14 +46,15 @@
 }
 
 static void
-tick (struct fake *f)
+tick (struct fixture *f)
 {
-  f->now += STEP;
+  f->now += TICK_US;
   cfs_leader_tick (f->leader, true, f->applied, f->now);
 }
 
 static const Cfs__HeartbeatReply *
-beat (struct fake *f, const char *host, bool draining, uint64_t released)
+send_heartbeat (struct fixture *f, const char *host, bool draining,
+                uint64_t released)
 {
   Cfs__Heartbeat h = CFS__HEARTBEAT__INIT;
   Cfs__Instance in = CFS__INSTANCE__INIT;
@@ -78,33 +79,33 @@
 }
 
 static const struct cfs_lease *
-gate (const struct fake *f)
+gate_lease (const struct fixture *f)
 {
   return cfs_table_find (&f->state.leases, "gate/orders");
 }
 
 /* Group known, gate held by h1. */
-static struct fake *
-new_fake (void)
+static struct fixture *
+new_fixture (void)
 {
-  struct fake *f = cfs_alloc (sizeof *f);
+  struct fixture *f = cfs_alloc (sizeof *f);
 
   cfs_state_init (&f->state);
   f->leader = cfs_leader_new (&ops, f, &f->state);
   f->now = CFS_US_PER_S;
   tick (f);
-  for (int i = 0; i < 20 && !gate (f); i++)
+  for (int i = 0; i < 20 && !gate_lease (f); i++)
     {
-      beat (f, "h1", false, 0);
+      send_heartbeat (f, "h1", false, 0);
       tick (f);
       apply (f);
     }
-  assert_string_equal (gate (f)->holder, "h1");
+  assert_string_equal (gate_lease (f)->holder, "h1");
   return f;
 }
 
 static void
-free_fake (struct fake *f)
+free_fixture (struct fixture *f)
 {
   cfs_leader_free (f->leader);
   cfs_state_end (&f->state);
@@ -112,65 +113,65 @@
 }
 
 static void
-no_renewal_while_a_move_is_under_way (void **state)
+no_lease_renewal_while_a_move_is_uncommitted (void **state)
 {
-  struct fake *f = new_fake ();
+  struct fixture *f = new_fixture ();
   const Cfs__HeartbeatReply *reply;
 
   (void)state;
   for (int i = 0; i < 30 && f->index == f->applied; i++)
     {
-      beat (f, "h2", false, 0);
+      send_heartbeat (f, "h2", false, 0);
       tick (f);
     }
   assert_true (f->index > f->applied);
-  reply = beat (f, "h1", false, 0);
+  reply = send_heartbeat (f, "h1", false, 0);
   assert_false (reply->granted);
   apply (f);
   tick (f);
-  reply = beat (f, "h1", false, 0);
+  reply = send_heartbeat (f, "h1", false, 0);
   assert_true (reply->granted);
   assert_int_equal (reply->n_assignments, 1);
   assert_string_equal (reply->assignments[0]->holder, "h2");
-  free_fake (f);
+  free_fixture (f);
 }
 
 static void
-a_release_moves_the_gate_at_once (void **state)
+a_released_gate_is_reassigned_immediately (void **state)
 {
-  struct fake *f = new_fake ();
+  struct fixture *f = new_fixture ();
 
   (void)state;
-  beat (f, "h2", false, 0);
-  beat (f, "h1", true, gate (f)->epoch);
+  send_heartbeat (f, "h2", false, 0);
+  send_heartbeat (f, "h1", true, gate_lease (f)->epoch);
   tick (f);
   apply (f);
-  assert_string_equal (gate (f)->holder, "h2");
-  assert_int_equal (gate (f)->epoch, 2);
-  free_fake (f);
+  assert_string_equal (gate_lease (f)->holder, "h2");
+  assert_int_equal (gate_lease (f)->epoch, 2);
+  free_fixture (f);
 }
 
 static void
-a_foreign_or_old_release_moves_nothing (void **state)
+a_release_of_another_host_or_epoch_is_ignored (void **state)
 {
-  struct fake *f = new_fake ();
+  struct fixture *f = new_fixture ();
 
   (void)state;
-  beat (f, "h1", false, gate (f)->epoch + 1);
-  beat (f, "h2", false, gate (f)->epoch);
+  send_heartbeat (f, "h1", false, gate_lease (f)->epoch + 1);
+  send_heartbeat (f, "h2", false, gate_lease (f)->epoch);
   tick (f);
   apply (f);
-  assert_string_equal (gate (f)->holder, "h1");
-  free_fake (f);
+  assert_string_equal (gate_lease (f)->holder, "h1");
+  free_fixture (f);
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (no_renewal_while_a_move_is_under_way),
-          cmocka_unit_test (a_release_moves_the_gate_at_once),
-          cmocka_unit_test (a_foreign_or_old_release_moves_nothing) };
+      = { cmocka_unit_test (no_lease_renewal_while_a_move_is_uncommitted),
+          cmocka_unit_test (a_released_gate_is_reassigned_immediately),
+          cmocka_unit_test (a_release_of_another_host_or_epoch_is_ignored) };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/limit_random.c
+++ b/tests/unit/limit_random.c
@@ -56,36 +56,36 @@
 }
 
 static void
-never_more_than_burst_and_rate (void **state)
+admission_stays_within_rate_and_burst (void **state)
 {
   (void)state;
   assert_int_equal (seeds_failed (run_seed), 0);
 }
 
 /* Counts what admission lets through and keeps the last ask. */
-struct counted
+struct admission_record
 {
   unsigned admitted;
-  uint64_t ask;
+  uint64_t request_id;
 };
 
 static void
-keep_ask (void *ctx, const char *team, uint64_t id, uint32_t count)
+record_token_request (void *ctx, const char *team, uint64_t id, uint32_t count)
 {
   (void)team;
   (void)count;
-  ((struct counted *)ctx)->ask = id;
+  ((struct admission_record *)ctx)->request_id = id;
 }
 
 static void
 count_admitted (void *ctx, struct cfs_request *r)
 {
   (void)r;
-  ((struct counted *)ctx)->admitted++;
+  ((struct admission_record *)ctx)->admitted++;
 }
 
 static void
-ignore_refused (void *ctx, struct cfs_request *r, enum cfs_code code)
+ignore_refusal (void *ctx, struct cfs_request *r, enum cfs_code code)
 {
   (void)ctx;
   (void)r;
@@ -93,11 +93,11 @@
 }
 
 static void
-a_doubled_or_late_grant_is_not_spent (void **state)
+a_duplicate_or_expired_grant_is_ignored (void **state)
 {
   static const struct cfs_admit_ops ops
-      = { keep_ask, count_admitted, ignore_refused };
-  struct counted c = { 0, 0 };
+      = { record_token_request, count_admitted, ignore_refusal };
+  struct admission_record c = { 0, 0 };
   struct cfs_request r[4] = { { .team = "a", .deadline = CFS_NEVER } };
   struct cfs_admit a;
   uint64_t first;
@@ -109,12 +109,12 @@
       r[i] = r[0];
       cfs_admit_submit (&a, &r[i], 10, 10, 0);
     }
-  first = c.ask;
+  first = c.request_id;
   cfs_admit_granted (&a, "a", first, 1, 0, 1000);
   assert_int_equal (c.admitted, 1);
   cfs_admit_granted (&a, "a", first, 1, 0, 2000);
   assert_int_equal (c.admitted, 1);
-  cfs_admit_granted (&a, "a", c.ask, 1, 0, 1000 + GRANT_LIFE_US);
+  cfs_admit_granted (&a, "a", c.request_id, 1, 0, 1000 + GRANT_LIFE_US);
   assert_int_equal (c.admitted, 1);
   cfs_admit_end (&a);
 }
@@ -123,8 +123,8 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (never_more_than_burst_and_rate),
-          cmocka_unit_test (a_doubled_or_late_grant_is_not_spent) };
+      = { cmocka_unit_test (admission_stays_within_rate_and_burst),
+          cmocka_unit_test (a_duplicate_or_expired_grant_is_ignored) };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/members.c
+++ b/tests/unit/members.c
@@ -16,7 +16,7 @@
 #include <cmocka.h>
 
 #define HOSTS 6
-#define SEEDS_COUNT 3
+#define INITIAL_VOTERS 3
 #define STEP_US (5 * CFS_US_PER_MS)
 #define REPAIR_US (4500 * CFS_US_PER_MS)
 #define MESSAGES 2048
@@ -43,7 +43,7 @@
 {
   uint8_t *data;
   size_t len;
-  int64_t at;
+  int64_t deliver_at;
   unsigned to;
 };
 
@@ -55,13 +55,13 @@
   struct message messages[MESSAGES];
   size_t count;
   uint64_t values[VALUES];
-  uint64_t committed;
-  uint64_t proposed;
-  const char *fault;
+  uint64_t committed_count;
+  uint64_t proposed_count;
+  const char *violation;
 };
 
 static uint64_t
-draw (struct world *w, uint64_t bound)
+random_below (struct world *w, uint64_t bound)
 {
   return cfs_random (&w->seed) % bound;
 }
@@ -147,21 +147,21 @@
   out->len = cfs__raft_msg__get_packed_size (msg);
   out->data = cfs_alloc (out->len + 1);
   cfs__raft_msg__pack (msg, out->data);
-  out->at = w->now + 500 + (int64_t)draw (w, 20000);
+  out->deliver_at = w->now + 500 + (int64_t)random_below (w, 20000);
   out->to = (unsigned)(host[1] - '1');
 }
 
 /* A value is its own number; the order is the same at every member. */
 static void
-note_value (struct member *m, uint64_t value)
+record_committed_value (struct member *m, uint64_t value)
 {
   struct world *w = m->world;
 
   m->applied++;
-  if (m->applied > w->committed)
-    w->values[w->committed++] = value;
+  if (m->applied > w->committed_count)
+    w->values[w->committed_count++] = value;
   else if (w->values[m->applied - 1] != value)
-    w->fault = "a committed value changed";
+    w->violation = "a committed value changed";
 }
 
 static void
@@ -170,7 +170,7 @@
   uint64_t value;
 
   memcpy (&value, e->data, sizeof value);
-  note_value (ctx, value);
+  record_committed_value (ctx, value);
 }
 
 static void
@@ -184,12 +184,12 @@
       uint64_t value;
 
       memcpy (&value, data + i * sizeof value, sizeof value);
-      note_value (m, value);
+      record_committed_value (m, value);
     }
 }
 
 static size_t
-image (void *ctx, uint8_t **data)
+serialize (void *ctx, uint8_t **data)
 {
   struct member *m = ctx;
   size_t len = m->applied * sizeof (uint64_t);
@@ -201,13 +201,13 @@
 
 static const struct cfs_raft_ops ops
     = { save_vote,    append, truncate_log, save_snapshot,
-        send_message, apply,  restore,      image };
+        send_message, apply,  restore,      serialize };
 
 static void
-first_members (struct cfs_raft_membership *list)
+set_initial_members (struct cfs_raft_membership *list)
 {
-  list->count = SEEDS_COUNT;
-  for (unsigned i = 0; i < SEEDS_COUNT; i++)
+  list->count = INITIAL_VOTERS;
+  for (unsigned i = 0; i < INITIAL_VOTERS; i++)
     {
       list->at[i].id = 100 + i;
       list->at[i].voter = true;
@@ -219,24 +219,24 @@
 start (struct world *w, unsigned i)
 {
   struct member *m = &w->members[i];
-  struct cfs_raft_initial_state boot = { .manages_voters = true,
-                                         .id = m->id,
-                                         .term = m->term,
-                                         .vote = m->vote,
-                                         .count = m->count,
-                                         .seed = cfs_random (&w->seed) };
+  struct cfs_raft_initial_state initial = { .manages_voters = true,
+                                            .id = m->id,
+                                            .term = m->term,
+                                            .vote = m->vote,
+                                            .count = m->count,
+                                            .seed = cfs_random (&w->seed) };
   char name[16];
 
   snprintf (name, sizeof name, "c%u", i + 1);
-  copy_snapshot (&boot.snapshot, &m->snapshot);
-  if (boot.snapshot.members.count == 0)
-    first_members (&boot.snapshot.members);
-  boot.entries = cfs_alloc ((m->count + 1) * sizeof *boot.entries);
+  copy_snapshot (&initial.snapshot, &m->snapshot);
+  if (initial.snapshot.members.count == 0)
+    set_initial_members (&initial.snapshot.members);
+  initial.entries = cfs_alloc ((m->count + 1) * sizeof *initial.entries);
   for (size_t k = 0; k < m->count; k++)
-    boot.entries[k] = copy_entry (&m->log[k]);
+    initial.entries[k] = copy_entry (&m->log[k]);
   m->applied = 0;
   m->up = true;
-  m->raft = cfs_raft_new (&ops, m, &boot, name, w->now);
+  m->raft = cfs_raft_new (&ops, m, &initial, name, w->now);
 }
 
 static void
@@ -251,7 +251,7 @@
 }
 
 static void
-wipe (struct world *w, unsigned i)
+lose_disk (struct world *w, unsigned i)
 {
   struct member *m = &w->members[i];
 
@@ -275,9 +275,9 @@
       w->members[i].index = i;
       w->members[i].id = 100 + i;
     }
-  for (unsigned i = 0; i < SEEDS_COUNT; i++)
+  for (unsigned i = 0; i < INITIAL_VOTERS; i++)
     {
-      first_members (&w->members[i].snapshot.members);
+      set_initial_members (&w->members[i].snapshot.members);
       start (w, i);
     }
   return w;
@@ -289,7 +289,7 @@
   for (unsigned i = 0; i < HOSTS; i++)
     {
       stop (w, i);
-      wipe (w, i);
+      lose_disk (w, i);
     }
   for (size_t i = 0; i < w->count; i++)
     free (w->messages[i].data);
@@ -310,13 +310,13 @@
 propose (struct world *w)
 {
   int l = leader (w);
-  uint64_t value = w->proposed + 1;
+  uint64_t value = w->proposed_count + 1;
 
-  if (l >= 0 && w->proposed < VALUES / 2
+  if (l >= 0 && w->proposed_count < VALUES / 2
       && cfs_raft_propose (w->members[l].raft, (uint8_t *)&value, sizeof value,
                            w->now, NULL)
              == CFS_OK)
-    w->proposed++;
+    w->proposed_count++;
 }
 
 /* Messages that are sent while others are handed over wait for the next
@@ -324,32 +324,32 @@
 static void
 step (struct world *w)
 {
-  static struct message taken[MESSAGES];
+  static struct message pending[MESSAGES];
   size_t count = w->count;
 
   w->now += STEP_US;
-  memcpy (taken, w->messages, count * sizeof taken[0]);
+  memcpy (pending, w->messages, count * sizeof pending[0]);
   w->count = 0;
   for (size_t i = 0; i < count; i++)
-    if (w->now < taken[i].at && w->count < MESSAGES)
-      w->messages[w->count++] = taken[i];
+    if (w->now < pending[i].deliver_at && w->count < MESSAGES)
+      w->messages[w->count++] = pending[i];
   for (size_t i = 0; i < count; i++)
-    if (w->now >= taken[i].at)
+    if (w->now >= pending[i].deliver_at)
       {
-        if (taken[i].to < HOSTS && w->members[taken[i].to].up)
+        if (pending[i].to < HOSTS && w->members[pending[i].to].up)
           {
-            Cfs__RaftMsg *msg
-                = cfs__raft_msg__unpack (NULL, taken[i].len, taken[i].data);
+            Cfs__RaftMsg *msg = cfs__raft_msg__unpack (NULL, pending[i].len,
+                                                       pending[i].data);
 
-            cfs_raft_receive (w->members[taken[i].to].raft, msg, w->now);
+            cfs_raft_receive (w->members[pending[i].to].raft, msg, w->now);
             cfs__raft_msg__free_unpacked (msg, NULL);
           }
-        free (taken[i].data);
+        free (pending[i].data);
       }
   for (unsigned i = 0; i < HOSTS; i++)
     if (w->members[i].up)
       cfs_raft_tick (w->members[i].raft, w->now);
-  if (draw (w, 20) == 0)
+  if (random_below (w, 20) == 0)
     propose (w);
 }
 
@@ -358,7 +358,7 @@
 {
   int64_t until = w->now + us;
 
-  while (w->now < until && !w->fault)
+  while (w->now < until && !w->violation)
     step (w);
 }
 
@@ -379,7 +379,7 @@
 
 /* A planned stop: the member runs on until its replacement has its vote. */
 static void
-leave (struct world *w, unsigned i)
+stop_as_planned (struct world *w, unsigned i)
 {
   int64_t until = w->now + 2500 * CFS_US_PER_MS;
 
@@ -389,18 +389,18 @@
 }
 
 static void
-assert_goes_on (struct world *w)
+assert_log_advances (struct world *w)
 {
-  uint64_t before = w->committed;
+  uint64_t before = w->committed_count;
 
   run (w, 3 * CFS_US_PER_S);
-  assert_null (w->fault);
-  assert_true (w->committed > before);
+  assert_null (w->violation);
+  assert_true (w->committed_count > before);
 }
 
 /* The day that found it: a member goes for good, the next loses its disk. */
 static void
-a_disk_is_lost_after_a_replacement (void **state)
+a_voter_that_lost_its_disk_rejoins_after_a_replacement (void **state)
 {
   struct world *w = new_world (1);
 
@@ -408,21 +408,21 @@
   run (w, 3 * CFS_US_PER_S);
   start (w, 3);
   run (w, 4 * CFS_US_PER_S);
-  leave (w, 0);
+  stop_as_planned (w, 0);
   run (w, 10 * CFS_US_PER_S);
   assert_int_equal (voters (w), 3);
   stop (w, 1);
-  wipe (w, 1);
+  lose_disk (w, 1);
   run (w, 2 * CFS_US_PER_S);
   start (w, 1);
   run (w, REPAIR_US);
-  assert_goes_on (w);
+  assert_log_advances (w);
   free_world (w);
 }
 
 /* Without a word: the successor comes two seconds later. */
 static void
-a_dead_member_is_replaced (void **state)
+a_failed_voter_is_replaced (void **state)
 {
   struct world *w = new_world (2);
 
@@ -434,43 +434,43 @@
   run (w, REPAIR_US);
   assert_int_equal (voters (w), 3);
   stop (w, 0);
-  assert_goes_on (w);
+  assert_log_advances (w);
   free_world (w);
 }
 
 static void
-six_members_have_five_voters (void **state)
+a_group_of_six_has_five_voters (void **state)
 {
   struct world *w = new_world (3);
 
   (void)state;
-  for (unsigned i = SEEDS_COUNT; i < HOSTS; i++)
+  for (unsigned i = INITIAL_VOTERS; i < HOSTS; i++)
     start (w, i);
   run (w, 8 * CFS_US_PER_S);
   assert_int_equal (voters (w), 5);
   stop (w, 0);
   stop (w, 4);
-  assert_goes_on (w);
+  assert_log_advances (w);
   free_world (w);
 }
 
 /* A restart of each in turn changes no vote. */
 static void
-a_rolling_restart_keeps_the_members (void **state)
+a_rolling_restart_keeps_the_voters (void **state)
 {
   struct world *w = new_world (4);
 
   (void)state;
   run (w, 3 * CFS_US_PER_S);
-  for (unsigned i = 0; i < SEEDS_COUNT; i++)
+  for (unsigned i = 0; i < INITIAL_VOTERS; i++)
     {
-      leave (w, i);
+      stop_as_planned (w, i);
       run (w, 500 * CFS_US_PER_MS);
       start (w, i);
       run (w, 2 * CFS_US_PER_S);
     }
   assert_int_equal (voters (w), 3);
-  assert_goes_on (w);
+  assert_log_advances (w);
   free_world (w);
 }
 
@@ -503,7 +503,7 @@
 
 /* Whole documents of 64 KB: neither log nor messages grow without bound. */
 static void
-large_entries_are_replaced_by_a_snapshot (void **state)
+large_entries_trigger_a_snapshot (void **state)
 {
   static uint8_t document[64 << 10];
   struct world *w = new_world (5);
@@ -514,21 +514,21 @@
   for (int i = 0; i < 200; i++)
     {
       int l = leader (w);
-      uint64_t value = w->proposed + 1;
+      uint64_t value = w->proposed_count + 1;
 
       memcpy (document, &value, sizeof value);
       if (l >= 0
           && cfs_raft_propose (w->members[l].raft, document, sizeof document,
                                w->now, NULL)
                  == CFS_OK)
-        w->proposed++;
+        w->proposed_count++;
       run (w, 50 * CFS_US_PER_MS);
     }
   for (size_t i = 0; i < w->members[0].count; i++)
     bytes += w->members[0].log[i].len;
-  assert_true (w->committed > 150);
+  assert_true (w->committed_count > 150);
   assert_true (bytes <= 2 * RAFT_SNAPSHOT_BYTES);
-  assert_null (w->fault);
+  assert_null (w->violation);
   free_world (w);
 }
 
@@ -536,43 +536,43 @@
 run_seed (uint64_t seed)
 {
   struct world *w = new_world (seed);
-  unsigned spare = 3;
+  unsigned next_spare = 3;
   uint64_t before;
   bool ok;
 
   run (w, 3 * CFS_US_PER_S);
-  for (int i = 0; i < 6 && !w->fault; i++)
+  for (int i = 0; i < 6 && !w->violation; i++)
     {
-      unsigned victim = (unsigned)draw (w, SEEDS_COUNT);
+      unsigned member = (unsigned)random_below (w, INITIAL_VOTERS);
 
-      if (!w->members[victim].up)
+      if (!w->members[member].up)
         continue;
-      bool wiped = draw (w, 2);
-
-      stop (w, victim);
-      if (wiped)
-        wipe (w, victim);
-      trace (w, wiped ? "stopped and wiped" : "stopped", victim);
-      run (w, (int64_t)draw (w, 3000) * CFS_US_PER_MS);
-      if (spare < HOSTS && draw (w, 4) == 0)
-        victim = spare++;
-      start (w, victim);
-      trace (w, "started", victim);
-      run (w, REPAIR_US + (int64_t)draw (w, 3000) * CFS_US_PER_MS);
+      bool disk_lost = random_below (w, 2);
+
+      stop (w, member);
+      if (disk_lost)
+        lose_disk (w, member);
+      trace (w, disk_lost ? "stopped and wiped" : "stopped", member);
+      run (w, (int64_t)random_below (w, 3000) * CFS_US_PER_MS);
+      if (next_spare < HOSTS && random_below (w, 4) == 0)
+        member = next_spare++;
+      start (w, member);
+      trace (w, "started", member);
+      run (w, REPAIR_US + (int64_t)random_below (w, 3000) * CFS_US_PER_MS);
     }
-  before = w->committed;
+  before = w->committed_count;
   run (w, 4 * CFS_US_PER_S);
   trace (w, "last", 0);
-  ok = !w->fault && w->committed > before;
+  ok = !w->violation && w->committed_count > before;
   if (!ok)
     printf ("seed %llu: %s\n", (unsigned long long)seed,
-            w->fault ? w->fault : "the log does not go on");
+            w->violation ? w->violation : "the log does not go on");
   free_world (w);
   return ok;
 }
 
 static void
-one_loss_at_a_time_is_repaired (void **state)
+single_failures_are_repaired_one_after_another (void **state)
 {
   (void)state;
   assert_int_equal (seeds_failed (run_seed), 0);
@@ -581,13 +581,14 @@
 int
 main (void)
 {
-  const struct CMUnitTest tests[]
-      = { cmocka_unit_test (a_disk_is_lost_after_a_replacement),
-          cmocka_unit_test (a_dead_member_is_replaced),
-          cmocka_unit_test (six_members_have_five_voters),
-          cmocka_unit_test (a_rolling_restart_keeps_the_members),
-          cmocka_unit_test (large_entries_are_replaced_by_a_snapshot),
-          cmocka_unit_test (one_loss_at_a_time_is_repaired) };
+  const struct CMUnitTest tests[] = {
+    cmocka_unit_test (a_voter_that_lost_its_disk_rejoins_after_a_replacement),
+    cmocka_unit_test (a_failed_voter_is_replaced),
+    cmocka_unit_test (a_group_of_six_has_five_voters),
+    cmocka_unit_test (a_rolling_restart_keeps_the_voters),
+    cmocka_unit_test (large_entries_trigger_a_snapshot),
+    cmocka_unit_test (single_failures_are_repaired_one_after_another)
+  };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/platform.c
+++ b/tests/unit/platform.c
@@ -39,7 +39,7 @@
 
 /* Replaces the first @from of a text; freed by g_free(). */
 static char *
-replaced (const char *text, const char *from, const char *to)
+replace_first (const char *text, const char *from, const char *to)
 {
   const char *at = strstr (text, from);
 
@@ -49,7 +49,7 @@
 }
 
 static void
-a_document_becomes_a_catalog (void **state)
+a_document_is_decoded_into_a_catalog (void **state)
 {
   struct cfs_catalog *c = document_decode (document, NULL);
   const struct cfs_route *r;
@@ -72,9 +72,9 @@
 }
 
 static void
-expect_refused (const char *from, const char *to, const char *why)
+expect_rejected (const char *from, const char *to, const char *why)
 {
-  char *text = replaced (document, from, to);
+  char *text = replace_first (document, from, to);
   GError *error = NULL;
 
   assert_null (document_decode (text, &error));
@@ -84,32 +84,32 @@
 }
 
 static void
-invalid_documents_are_refused (void **state)
+invalid_documents_are_rejected (void **state)
 {
   (void)state;
-  expect_refused ("}]}", "", "the document is not a JSON object");
-  expect_refused ("\"service\":\"db\"", "\"service\":\"dc\"",
-                  "routes[].service: no such service");
-  expect_refused ("\"timeout_ms\":1200", "\"timeout_ms\":0",
-                  "routes[].timeout_ms: must not be 0");
-  expect_refused ("\"timeout_ms\":1200,", "",
-                  "routes[].timeout_ms: must be a number >= 0");
-  expect_refused ("[\"k3\"]", "[\"k1\"]", "two teams share a key");
-  expect_refused ("bounded_staleness", "newest",
-                  "routes[].type: missing or unknown");
-  expect_refused ("\"version\":7", "\"version\":7.5",
-                  "version: must be a whole number");
-  expect_refused ("\"version\":7,", "", "version: must be a number >= 1");
-  expect_refused ("\"public\":false}]",
-                  "\"public\":false},{\"database\":\"sheet\",\"type\":"
-                  "\"primary\",\"timeout_ms\":5,\"service\":\"db\"}]",
-                  "two routes have the same database");
+  expect_rejected ("}]}", "", "the document is not a JSON object");
+  expect_rejected ("\"service\":\"db\"", "\"service\":\"dc\"",
+                   "routes[].service: no such service");
+  expect_rejected ("\"timeout_ms\":1200", "\"timeout_ms\":0",
+                   "routes[].timeout_ms: must not be 0");
+  expect_rejected ("\"timeout_ms\":1200,", "",
+                   "routes[].timeout_ms: must be a number >= 0");
+  expect_rejected ("[\"k3\"]", "[\"k1\"]", "two teams share a key");
+  expect_rejected ("bounded_staleness", "newest",
+                   "routes[].type: missing or unknown");
+  expect_rejected ("\"version\":7", "\"version\":7.5",
+                   "version: must be a whole number");
+  expect_rejected ("\"version\":7,", "", "version: must be a number >= 1");
+  expect_rejected ("\"public\":false}]",
+                   "\"public\":false},{\"database\":\"sheet\",\"type\":"
+                   "\"primary\",\"timeout_ms\":5,\"service\":\"db\"}]",
+                   "two routes have the same database");
 }
 
 static void
-unknown_fields_are_passed_over (void **state)
+unknown_fields_are_ignored (void **state)
 {
-  char *text = replaced (document, "\"priority\":2", "\"colour\":[1,{}]");
+  char *text = replace_first (document, "\"priority\":2", "\"colour\":[1,{}]");
   struct cfs_catalog *c = document_decode (text, NULL);
 
   (void)state;
@@ -119,9 +119,9 @@
 }
 
 static void
-reports_are_read_or_refused (void **state)
+reports_are_decoded_or_rejected (void **state)
 {
-  static const char *const bad[][2] = {
+  static const char *const invalid[][2] = {
     { "\"ready\"", "\"resting\"" },
     { "\"replica\"", "\"witness\"" },
     { "\"slots\":2", "\"slots\":0" },
@@ -139,9 +139,9 @@
   assert_string_equal (t.address, "10.0.0.9:8080");
   assert_false (t.primary || t.draining);
   assert_int_equal (t.incarnation, 1700000000000);
-  for (size_t i = 0; i < sizeof bad / sizeof bad[0]; i++)
+  for (size_t i = 0; i < sizeof invalid / sizeof invalid[0]; i++)
     {
-      char *text = replaced (report, bad[i][0], bad[i][1]);
+      char *text = replace_first (report, invalid[i][0], invalid[i][1]);
 
       assert_false (report_decode (text, "i-1", &t));
       g_free (text);
@@ -151,14 +151,14 @@
 
 /* Each line: what a caller sends, and what an instance gets. */
 static void
-statements_are_passed_on_unchanged (void **state)
+statements_are_forwarded_unchanged (void **state)
 {
-  static const char *const same[]
+  static const char *const valid[]
       = { "BEGIN",          "BEGIN READ",       "COMMIT",
           "ROLLBACK",       "READ 1a4",         "WRITE 1a4 some data",
           "SET zone east",  "SET a b c  d",     "PREPARE s1 WRITE q2c",
           "EXECUTE s1 1a4", "EXECUTE s1 1a4 x", "CLOSE s1" };
-  static const char *const bad[] = {
+  static const char *const invalid[] = {
     "",        "READ",           "WRITE 1a4",         "BEGIN WRITE",
     "SET a",   "PREPARE s1 q2c", "PREPARE s1 BOTH q", "STATUS",
     "PAUSE 4", "DEMOTE 4",       "COMMIT now",        "AFTER 3.1 READ 1a4",
@@ -167,23 +167,23 @@
   struct cfs_statement s;
 
   (void)state;
-  for (size_t i = 0; i < sizeof same / sizeof same[0]; i++)
+  for (size_t i = 0; i < sizeof valid / sizeof valid[0]; i++)
     {
-      char *text = g_strdup (same[i]);
-      char *want = g_strdup_printf ("QUERY 77 %s\r\n", same[i]);
+      char *text = g_strdup (valid[i]);
+      char *expected = g_strdup_printf ("QUERY 77 %s\r\n", valid[i]);
       GString *out = g_string_new (NULL);
 
       assert_true (line_protocol_parse_statement (text, &s));
       s.id = "77";
       line_protocol_put_statement (out, &s);
-      assert_string_equal (out->str, want);
+      assert_string_equal (out->str, expected);
       g_string_free (out, TRUE);
-      g_free (want);
+      g_free (expected);
       g_free (text);
     }
-  for (size_t i = 0; i < sizeof bad / sizeof bad[0]; i++)
+  for (size_t i = 0; i < sizeof invalid / sizeof invalid[0]; i++)
     {
-      char *text = g_strdup (bad[i]);
+      char *text = g_strdup (invalid[i]);
 
       assert_false (line_protocol_parse_statement (text, &s));
       g_free (text);
@@ -191,7 +191,7 @@
 }
 
 static void
-positions_go_before_a_statement (void **state)
+a_minimum_position_precedes_the_statement (void **state)
 {
   struct cfs_statement s
       = { .verb = VERB_READ, .arg = "1a4", .after = { 3, 1207 } };
@@ -213,7 +213,7 @@
 }
 
 static void
-mutated_input_does_no_harm (void **state)
+mutated_input_never_crashes (void **state)
 {
   static const char statement[] = "PREPARE s1 WRITE q2c";
   uint64_t seed = 42;
@@ -244,36 +244,37 @@
 }
 
 /* What a connection told its owner. */
-struct heard
+struct recorder
 {
   GString *lines;
-  unsigned ended;
+  unsigned closed;
 };
 
 static void
 on_line (void *owner, char *text, size_t len)
 {
-  struct heard *h = owner;
+  struct recorder *recorder = owner;
 
   assert_int_equal (strlen (text), len);
-  g_string_append_printf (h->lines, "[%s]", text);
+  g_string_append_printf (recorder->lines, "[%s]", text);
 }
 
 static void
-on_ended (void *owner, const char *reason)
+on_closed (void *owner, const char *reason)
 {
   (void)reason;
-  ((struct heard *)owner)->ended++;
+  ((struct recorder *)owner)->closed++;
 }
 
-static const struct line_conn_events events = { NULL, on_line, on_ended };
+static const struct line_conn_events events = { NULL, on_line, on_closed };
 
 /* Sends @text in pieces of @piece bytes and gives what was heard. */
 static char *
-hear (const char *text, size_t len, size_t piece, unsigned *ended)
+receive_in_chunks (const char *text, size_t len, size_t chunk,
+                   unsigned *closed)
 {
   static const struct line_conn_options options = { 1000, 1 };
-  struct heard h = { g_string_new (NULL), 0 };
+  struct recorder recorder = { g_string_new (NULL), 0 };
   apr_pool_t *pool;
   struct cfs_loop *loop;
   struct line_conn *l;
@@ -282,54 +283,55 @@
   apr_pool_create (&pool, NULL);
   loop = cfs_loop_new (pool);
   assert_int_equal (socketpair (AF_UNIX, SOCK_STREAM, 0, ends), 0);
-  l = line_conn_accept (loop, ends[0], &options, &events, &h);
-  for (size_t at = 0; at < len && !h.ended; at += piece)
+  l = line_conn_accept (loop, ends[0], &options, &events, &recorder);
+  for (size_t at = 0; at < len && !recorder.closed; at += chunk)
     {
-      size_t part = len - at < piece ? len - at : piece;
+      size_t part = len - at < chunk ? len - at : chunk;
 
       assert_int_equal (send (ends[1], text + at, part, MSG_NOSIGNAL), part);
       cfs_loop_poll (loop, 1000);
     }
-  for (int i = 0; i < 4 && !h.ended; i++)
+  for (int i = 0; i < 4 && !recorder.closed; i++)
     cfs_loop_poll (loop, 1000);
-  *ended = h.ended;
+  *closed = recorder.closed;
   line_conn_free (l);
   close (ends[1]);
   apr_pool_destroy (pool);
-  return g_string_free (h.lines, FALSE);
+  return g_string_free (recorder.lines, FALSE);
 }
 
 static void
-lines_come_whole_however_they_are_cut (void **state)
+lines_are_reassembled_from_chunks_of_any_size (void **state)
 {
   static const char text[] = "STARTUP a b\r\nQUERY 1 READ x\r\n\r\nlast\n";
-  unsigned ended;
+  unsigned closed;
 
   (void)state;
-  for (size_t piece = 1; piece < sizeof text; piece++)
+  for (size_t chunk = 1; chunk < sizeof text; chunk++)
     {
-      char *heard = hear (text, sizeof text - 1, piece, &ended);
+      char *recorded
+          = receive_in_chunks (text, sizeof text - 1, chunk, &closed);
 
-      assert_string_equal (heard, "[STARTUP a b][QUERY 1 READ x][][last]");
-      assert_int_equal (ended, 0);
-      g_free (heard);
+      assert_string_equal (recorded, "[STARTUP a b][QUERY 1 READ x][][last]");
+      assert_int_equal (closed, 0);
+      g_free (recorded);
     }
 }
 
 static void
-a_line_without_end_is_ended (void **state)
+an_overlong_line_closes_the_connection (void **state)
 {
   size_t len = LINE_BYTES_MAX + 65536;
   char *text = g_malloc (len);
-  unsigned ended;
-  char *heard;
+  unsigned closed;
+  char *recorded;
 
   (void)state;
   memset (text, 'x', len);
-  heard = hear (text, len, 16384, &ended);
-  assert_string_equal (heard, "");
-  assert_int_equal (ended, 1);
-  g_free (heard);
+  recorded = receive_in_chunks (text, len, 16384, &closed);
+  assert_string_equal (recorded, "");
+  assert_int_equal (closed, 1);
+  g_free (recorded);
   g_free (text);
 }
 
@@ -337,15 +339,15 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (a_document_becomes_a_catalog),
-          cmocka_unit_test (invalid_documents_are_refused),
-          cmocka_unit_test (unknown_fields_are_passed_over),
-          cmocka_unit_test (reports_are_read_or_refused),
-          cmocka_unit_test (statements_are_passed_on_unchanged),
-          cmocka_unit_test (positions_go_before_a_statement),
-          cmocka_unit_test (mutated_input_does_no_harm),
-          cmocka_unit_test (lines_come_whole_however_they_are_cut),
-          cmocka_unit_test (a_line_without_end_is_ended) };
+      = { cmocka_unit_test (a_document_is_decoded_into_a_catalog),
+          cmocka_unit_test (invalid_documents_are_rejected),
+          cmocka_unit_test (unknown_fields_are_ignored),
+          cmocka_unit_test (reports_are_decoded_or_rejected),
+          cmocka_unit_test (statements_are_forwarded_unchanged),
+          cmocka_unit_test (a_minimum_position_precedes_the_statement),
+          cmocka_unit_test (mutated_input_never_crashes),
+          cmocka_unit_test (lines_are_reassembled_from_chunks_of_any_size),
+          cmocka_unit_test (an_overlong_line_closes_the_connection) };
   int rc;
 
   apr_initialize ();
--- a/tests/unit/pool.c
+++ b/tests/unit/pool.c
@@ -14,20 +14,20 @@
 #include <cmocka.h>
 
 #define STEP_US (5 * CFS_US_PER_MS)
-#define WAY_US (20 * CFS_US_PER_MS)
+#define LATENCY_US (20 * CFS_US_PER_MS)
 /* Time in which the instance has no room, and attempts that it may get from
    one host of many in that time. */
-#define FULL_US (5 * CFS_US_PER_S)
+#define OVERLOAD_US (5 * CFS_US_PER_S)
 #define ATTEMPTS_MAX 20
 /* Time until it is used again after it has room. */
-#define BACK_US (1500 * CFS_US_PER_MS)
+#define RECOVERY_MAX_US (1500 * CFS_US_PER_MS)
 
-struct fake_wire
+struct fake_conn
 {
   struct cfs_target_conn base;
   const struct cfs_target_conn_events *events;
   void *owner;
-  int64_t due;
+  int64_t reply_at;
 };
 
 struct world
@@ -35,11 +35,11 @@
   int64_t now;
   struct cfs_settings settings;
   struct cfs_fleet fleet;
-  struct cfs_target_adapter edge;
+  struct cfs_target_adapter adapter;
   struct cfs_pool *pool;
-  struct fake_wire *wire;
-  struct cfs_pooled_conn *link;
-  enum cfs_reply_code code;
+  struct fake_conn *target_conn;
+  struct cfs_pooled_conn *pooled_conn;
+  enum cfs_reply_code reply_code;
   unsigned attempts;
   bool served;
 };
@@ -53,69 +53,72 @@
 }
 
 static void
-wire_send (struct cfs_target_conn *base, const struct cfs_statement *st,
-           size_t n)
+fake_conn_send (struct cfs_target_conn *base, const struct cfs_statement *st,
+                size_t n)
 {
-  struct fake_wire *k = (struct fake_wire *)base;
+  struct fake_conn *c = (struct fake_conn *)base;
 
   (void)st;
   (void)n;
-  k->due = world.now + WAY_US;
+  c->reply_at = world.now + LATENCY_US;
 }
 
 static void
-wire_close (struct cfs_target_conn *base)
+fake_conn_close (struct cfs_target_conn *base)
 {
-  if (world.wire == (struct fake_wire *)base)
-    world.wire = NULL;
+  if (world.target_conn == (struct fake_conn *)base)
+    world.target_conn = NULL;
   free (base);
 }
 
-static const struct cfs_target_conn_ops wire_ops = { wire_send, wire_close };
+static const struct cfs_target_conn_ops fake_conn_ops
+    = { fake_conn_send, fake_conn_close };
 
 static struct cfs_target_conn *
-wire_open (const struct cfs_target_adapter *edge,
-           const struct cfs_target_conn_setup *setup)
+fake_conn_open (const struct cfs_target_adapter *adapter,
+                const struct cfs_target_conn_setup *setup)
 {
-  struct fake_wire *k = cfs_alloc (sizeof *k);
-
-  (void)edge;
-  k->base.ops = &wire_ops;
-  k->events = setup->events;
-  k->owner = setup->owner;
-  k->due = world.now + WAY_US;
-  world.wire = k;
+  struct fake_conn *c = cfs_alloc (sizeof *c);
+
+  (void)adapter;
+  c->base.ops = &fake_conn_ops;
+  c->events = setup->events;
+  c->owner = setup->owner;
+  c->reply_at = world.now + LATENCY_US;
+  world.target_conn = c;
   world.attempts++;
-  return &k->base;
+  return &c->base;
 }
 
 static void
-on_opened (void *holder, const struct cfs_reply *r)
+on_opened (void *user, const struct cfs_reply *r)
 {
-  (void)holder;
+  (void)user;
   if (r->code == REPLY_OK)
     world.served = true;
   else
-    world.link = NULL;
+    world.pooled_conn = NULL;
 }
 
-static const struct cfs_pooled_conn_events link_events
+static const struct cfs_pooled_conn_events pooled_conn_events
     = { on_opened, NULL, NULL };
 
 static void
 step (void)
 {
-  struct cfs_reply r = { .code = world.code };
+  struct cfs_reply r = { .code = world.reply_code };
   bool opening;
 
   world.now += STEP_US;
-  if (!world.link)
-    world.link = cfs_pool_acquire (world.pool, "t1", "team", &link_events,
-                                   &world, world.now, &opening);
-  if (world.wire && world.wire->due && world.now >= world.wire->due)
+  if (!world.pooled_conn)
+    world.pooled_conn
+        = cfs_pool_acquire (world.pool, "t1", "team", &pooled_conn_events,
+                            &world, world.now, &opening);
+  if (world.target_conn && world.target_conn->reply_at
+      && world.now >= world.target_conn->reply_at)
     {
-      world.wire->due = 0;
-      world.wire->events->opened (world.wire->owner, &r);
+      world.target_conn->reply_at = 0;
+      world.target_conn->events->opened (world.target_conn->owner, &r);
     }
   cfs_pool_tick (world.pool, world.now);
 }
@@ -128,12 +131,12 @@
   (void)state;
   memset (&world, 0, sizeof world);
   world.now = CFS_US_PER_S;
-  world.edge.open = wire_open;
+  world.adapter.open = fake_conn_open;
   cfs_fleet_init (&world.fleet, &world.settings, NULL);
   t = cfs_table_add (&world.fleet.targets, "t1");
   cfs_copy (t->service, sizeof t->service, "db");
   t->slots = 2;
-  world.pool = cfs_pool_new (&world.edge, &world.fleet, world_clock, 1);
+  world.pool = cfs_pool_new (&world.adapter, &world.fleet, world_clock, 1);
   return 0;
 }
 
@@ -147,60 +150,63 @@
 }
 
 static void
-run_full (enum cfs_reply_code code)
+run_overload (enum cfs_reply_code code)
 {
-  world.code = code;
-  while (world.now < CFS_US_PER_S + FULL_US)
+  world.reply_code = code;
+  while (world.now < CFS_US_PER_S + OVERLOAD_US)
     step ();
   assert_true (world.attempts <= ATTEMPTS_MAX);
   assert_false (world.served);
-  world.code = REPLY_OK;
-  while (world.now < CFS_US_PER_S + FULL_US + BACK_US)
+  world.reply_code = REPLY_OK;
+  while (world.now < CFS_US_PER_S + OVERLOAD_US + RECOVERY_MAX_US)
     step ();
   assert_true (world.served);
 }
 
 static void
-no_room_for_a_connection (void **state)
+attempts_back_off_while_connections_are_refused (void **state)
 {
   (void)state;
-  run_full (REPLY_NO_CONNECTION);
+  run_overload (REPLY_NO_CONNECTION);
 }
 
 static void
-no_room_for_work (void **state)
+attempts_back_off_while_the_instance_is_busy (void **state)
 {
   (void)state;
-  run_full (REPLY_BUSY);
+  run_overload (REPLY_BUSY);
 }
 
 /* Reads pass over an instance whose log stays behind, ever longer. */
 static void
-a_log_that_stays_behind (void **state)
+reads_back_off_while_a_log_stays_behind (void **state)
 {
-  const struct cfs_position need = { 1, 100 };
-  unsigned chosen = 0;
+  const struct cfs_position min_position = { 1, 100 };
+  unsigned choices = 0;
 
   (void)state;
-  while (world.now < CFS_US_PER_S + FULL_US)
+  while (world.now < CFS_US_PER_S + OVERLOAD_US)
     {
       world.now += STEP_US;
-      if (!cfs_pool_choose (world.pool, "db", &need, NULL, 0, world.now))
+      if (!cfs_pool_choose (world.pool, "db", &min_position, NULL, 0,
+                            world.now))
         continue;
-      chosen++;
-      cfs_pool_note_behind (world.pool, "t1", &need, world.now);
+      choices++;
+      cfs_pool_note_behind (world.pool, "t1", &min_position, world.now);
     }
-  assert_true (chosen <= ATTEMPTS_MAX);
+  assert_true (choices <= ATTEMPTS_MAX);
 }
 
 int
 main (void)
 {
-  const struct CMUnitTest tests[] = {
-    cmocka_unit_test_setup_teardown (no_room_for_a_connection, start, end),
-    cmocka_unit_test_setup_teardown (no_room_for_work, start, end),
-    cmocka_unit_test_setup_teardown (a_log_that_stays_behind, start, end)
-  };
+  const struct CMUnitTest tests[]
+      = { cmocka_unit_test_setup_teardown (
+              attempts_back_off_while_connections_are_refused, start, end),
+          cmocka_unit_test_setup_teardown (
+              attempts_back_off_while_the_instance_is_busy, start, end),
+          cmocka_unit_test_setup_teardown (
+              reads_back_off_while_a_log_stays_behind, start, end) };
 
   cfs_log_open ("test", CFS_ERR);
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/tests/unit/scenarios.c
+++ b/tests/unit/scenarios.c
@@ -14,20 +14,20 @@
 
 #include <cmocka.h>
 
-#define WORDS 12
+#define WORDS_MAX 12
 #define FOLDER "tests/scenarios/"
 
-struct script
+struct scenario
 {
   FILE *out;
   struct world_gate *gate;
   struct world_control *control;
-  char *words[WORDS];
+  char *words[WORDS_MAX];
   int count;
 };
 
 static const char *
-option (const struct script *s, const char *name, const char *fallback)
+option (const struct scenario *s, const char *name, const char *fallback)
 {
   for (int i = 1; i + 1 < s->count; i++)
     if (strcmp (s->words[i], name) == 0)
@@ -36,7 +36,7 @@
 }
 
 static long
-number (const struct script *s, const char *name, long fallback)
+number_option (const struct scenario *s, const char *name, long fallback)
 {
   const char *text = option (s, name, NULL);
 
@@ -44,7 +44,7 @@
 }
 
 static bool
-flag (const struct script *s, const char *name)
+has_flag (const struct scenario *s, const char *name)
 {
   for (int i = 1; i < s->count; i++)
     if (strcmp (s->words[i], name) == 0)
@@ -53,13 +53,13 @@
 }
 
 static unsigned
-index_of (const struct script *s)
+number_argument (const struct scenario *s)
 {
   return s->count > 1 ? (unsigned)strtoul (s->words[1], NULL, 10) : 0;
 }
 
 static struct wg_request *
-request_named (struct world_gate *w, const char *name)
+find_request (struct world_gate *w, const char *name)
 {
   for (int i = w->request_count; i > 0; i--)
     if (strcmp (w->requests[i - 1].name, name) == 0)
@@ -68,22 +68,22 @@
 }
 
 static void
-submit (struct script *s, enum cfs_request_kind kind)
+submit (struct scenario *s, enum cfs_request_kind kind)
 {
   const char *tx = option (s, "in", NULL);
-  const struct wg_request *begin = tx ? request_named (s->gate, tx) : NULL;
+  const struct wg_request *begin = tx ? find_request (s->gate, tx) : NULL;
   const char *id = begin ? begin->request.transaction : "";
 
-  if (flag (s, "forged"))
+  if (has_flag (s, "forged"))
     id = "12345";
   wg_submit (s->gate, s->words[1], kind, option (s, "key", ""),
-             option (s, "session", ""), flag (s, "once"), id,
-             number (s, "deadline", 3000) * CFS_US_PER_MS,
-             number (s, "age", 5000) * CFS_US_PER_MS);
+             option (s, "session", ""), has_flag (s, "once"), id,
+             number_option (s, "deadline", 3000) * CFS_US_PER_MS,
+             number_option (s, "age", 5000) * CFS_US_PER_MS);
 }
 
 static void
-show_log (struct script *s, const struct wg_instance *in)
+print_log (struct scenario *s, const struct wg_instance *in)
 {
   fprintf (s->out,
            "log of instance %ld, term %llu:", (long)(in - s->gate->inst),
@@ -94,12 +94,12 @@
 }
 
 static bool
-gate_command (struct script *s)
+gate_command (struct scenario *s)
 {
   struct world_gate *w = s->gate;
   const char *c = s->words[0];
-  unsigned i = index_of (s);
-  struct wg_request *q = s->count > 1 ? request_named (w, s->words[1]) : NULL;
+  unsigned i = number_argument (s);
+  struct wg_request *q = s->count > 1 ? find_request (w, s->words[1]) : NULL;
 
   if (strcmp (c, "run") == 0)
     wg_run (w, (int64_t)i * CFS_US_PER_MS);
@@ -130,11 +130,11 @@
   else if (strcmp (c, "join") == 0)
     w->inst[i].isolated = false;
   else if (strcmp (c, "cut") == 0)
-    w->inst[i].cut[number (s, "host", 0)] = true;
+    w->inst[i].cut[number_option (s, "host", 0)] = true;
   else if (strcmp (c, "leave") == 0)
     w->inst[i].leaving = true;
   else if (strcmp (c, "lag") == 0)
-    w->inst[i].lag_us = number (s, "ms", 50) * CFS_US_PER_MS;
+    w->inst[i].lag_us = number_option (s, "ms", 50) * CFS_US_PER_MS;
   else if (strcmp (c, "host-kill") == 0)
     wg_host_kill (w, i);
   else if (strcmp (c, "host-start") == 0)
@@ -153,7 +153,7 @@
   else if (strcmp (c, "service") == 0)
     w->service_us = (int64_t)i * CFS_US_PER_MS;
   else if (strcmp (c, "log") == 0)
-    show_log (s, &w->inst[i]);
+    print_log (s, &w->inst[i]);
   else if (strcmp (c, "executed") == 0 && q)
     fprintf (s->out, "%s was sent to targets %d times\n", q->name,
              q->executed);
@@ -168,7 +168,7 @@
 }
 
 static void
-show_control (struct script *s)
+print_control (struct scenario *s)
 {
   struct world_control *w = s->control;
   int leader = wc_find_leader (w);
@@ -188,7 +188,7 @@
 }
 
 static void
-show_agents (struct script *s)
+print_member_hosts (struct scenario *s)
 {
   struct world_control *w = s->control;
 
@@ -199,7 +199,7 @@
 }
 
 static void
-show_members (struct script *s)
+print_members (struct scenario *s)
 {
   int leader = wc_find_leader (s->control);
   const struct cfs_raft_membership *m;
@@ -218,24 +218,25 @@
 
 /* patch ID base N [host C]: goes to the leader unless a host is named. */
 static void
-patch (struct script *s)
+propose_patch (struct scenario *s)
 {
   struct world_control *w = s->control;
-  long host = number (s, "host", wc_find_leader (w) + 1) - 1;
+  long host = number_option (s, "host", wc_find_leader (w) + 1) - 1;
   char text[128];
-  bool taken;
+  bool proposed;
 
   snprintf (text, sizeof text,
             "{\"teams\":{\"%s\":{\"rate\":10,\"burst\":10}}}", s->words[1]);
-  taken = host >= 0
-          && wc_patch (w, (unsigned)host, (uint64_t)number (s, "base", 0),
-                       text, s->words[1]);
+  proposed
+      = host >= 0
+        && wc_patch (w, (unsigned)host, (uint64_t)number_option (s, "base", 0),
+                     text, s->words[1]);
   fprintf (s->out, "patch %s %s\n", s->words[1],
-           taken ? "proposed" : "refused");
+           proposed ? "proposed" : "refused");
 }
 
 static void
-show_result (struct script *s)
+print_result (struct scenario *s)
 {
   int leader = wc_find_leader (s->control);
   const struct cfs_patch_result *r
@@ -251,7 +252,7 @@
 }
 
 static void
-many_patches (struct script *s, unsigned count)
+propose_patches (struct scenario *s, unsigned count)
 {
   struct world_control *w = s->control;
 
@@ -270,11 +271,11 @@
 }
 
 static bool
-control_command (struct script *s)
+control_command (struct scenario *s)
 {
   struct world_control *w = s->control;
   const char *c = s->words[0];
-  unsigned i = index_of (s);
+  unsigned i = number_argument (s);
   unsigned at = i - 1;
 
   if (strcmp (c, "run") == 0)
@@ -317,30 +318,30 @@
   else if (strcmp (c, "agent-restart") == 0)
     wc_agent_restart (w, at);
   else if (strcmp (c, "patch") == 0)
-    patch (s);
+    propose_patch (s);
   else if (strcmp (c, "patches") == 0)
-    many_patches (s, i);
+    propose_patches (s, i);
   else if (strcmp (c, "result") == 0)
-    show_result (s);
+    print_result (s);
   else if (strcmp (c, "show") == 0)
-    show_control (s);
+    print_control (s);
   else if (strcmp (c, "agents") == 0)
-    show_agents (s);
+    print_member_hosts (s);
   else if (strcmp (c, "members") == 0)
-    show_members (s);
+    print_members (s);
   else
     return false;
   return true;
 }
 
 static bool
-run_line (struct script *s, char *line)
+run_line (struct scenario *s, char *line)
 {
   char *save = NULL;
 
   line[strcspn (line, "#\n")] = '\0';
   s->count = 0;
-  for (char *word = strtok_r (line, " ", &save); word && s->count < WORDS;
+  for (char *word = strtok_r (line, " ", &save); word && s->count < WORDS_MAX;
        word = strtok_r (NULL, " ", &save))
     s->words[s->count++] = word;
   if (s->count == 0)
@@ -359,9 +360,9 @@
 }
 
 static char *
-run_script (const char *path)
+run_scenario (const char *path)
 {
-  struct script s = { .out = NULL };
+  struct scenario s = { .out = NULL };
   char *text = NULL;
   size_t len = 0;
   char line[256];
@@ -403,15 +404,15 @@
 }
 
 static bool
-check_script (const char *name)
+check_scenario (const char *name)
 {
   char path[512];
-  char *got;
-  char *want;
+  char *actual;
+  char *expected;
   bool same;
 
   snprintf (path, sizeof path, FOLDER "%s.scn", name);
-  got = run_script (path);
+  actual = run_scenario (path);
   snprintf (path, sizeof path, FOLDER "%s.expected", name);
   if (getenv ("UPDATE"))
     {
@@ -419,21 +420,22 @@
 
       if (out)
         {
-          fputs (got, out);
+          fputs (actual, out);
           fclose (out);
         }
     }
-  want = read_text (path);
-  same = strcmp (got, want) == 0;
+  expected = read_text (path);
+  same = strcmp (actual, expected) == 0;
   if (!same)
-    printf ("%s differs; it gave:\n%s\nexpected was:\n%s\n", name, got, want);
-  free (got);
-  free (want);
+    printf ("%s differs; it gave:\n%s\nexpected was:\n%s\n", name, actual,
+            expected);
+  free (actual);
+  free (expected);
   return same;
 }
 
 static void
-every_scenario_gives_its_expected_trace (void **state)
+every_scenario_produces_its_expected_trace (void **state)
 {
   struct dirent **list = NULL;
   int count = scandir (FOLDER, &list, NULL, alphasort);
@@ -449,7 +451,7 @@
         {
           *dot = '\0';
           run++;
-          failed += !check_script (list[i]->d_name);
+          failed += !check_scenario (list[i]->d_name);
         }
       free (list[i]);
     }
@@ -462,7 +464,7 @@
 main (void)
 {
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (every_scenario_gives_its_expected_trace) };
+      = { cmocka_unit_test (every_scenario_produces_its_expected_trace) };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/session_random.c
+++ b/tests/unit/session_random.c
@@ -15,34 +15,34 @@
 #include <cmocka.h>
 
 #define RUN_US (5 * CFS_US_PER_S)
-#define QUIET_US (2 * CFS_US_PER_S)
+#define SETTLE_US (2 * CFS_US_PER_S)
 
 static bool
 run_seed (uint64_t seed)
 {
   struct world_sessions *w
       = ws_new (seed, (enum cfs_consistency) (seed % 3), true);
-  const char *fault;
+  const char *violation;
 
   ws_run (w, RUN_US);
   w->faults = false;
-  ws_run (w, QUIET_US);
-  fault = ws_check_end (w);
-  if (fault)
-    printf ("seed %llu: %s\n", (unsigned long long)seed, fault);
+  ws_run (w, SETTLE_US);
+  violation = ws_check_end (w);
+  if (violation)
+    printf ("seed %llu: %s\n", (unsigned long long)seed, violation);
   ws_free (w);
-  return !fault;
+  return !violation;
 }
 
 static void
-random_schedules_keep_the_promises (void **state)
+guarantees_hold_under_random_schedules (void **state)
 {
   (void)state;
   assert_int_equal (seeds_failed (run_seed), 0);
 }
 
 static void
-a_calm_group_serves_everything (void **state)
+every_operation_succeeds_without_faults (void **state)
 {
   (void)state;
   for (int kind = 0; kind < 3; kind++)
@@ -62,8 +62,8 @@
 {
   cfs_log_open ("test", getenv ("TRACE") ? CFS_INFO : CFS_ERR);
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (a_calm_group_serves_everything),
-          cmocka_unit_test (random_schedules_keep_the_promises) };
+      = { cmocka_unit_test (every_operation_succeeds_without_faults),
+          cmocka_unit_test (guarantees_hold_under_random_schedules) };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
 }
--- a/tests/unit/shares_random.c
+++ b/tests/unit/shares_random.c
@@ -18,30 +18,30 @@
 #define HOSTS 5
 #define TEAM "team"
 #define STEP_US (5 * CFS_US_PER_MS)
-#define HEARTBEAT_STEP_US (300 * CFS_US_PER_MS)
+#define HEARTBEAT_US (300 * CFS_US_PER_MS)
 #define RUN_US (25 * CFS_US_PER_S)
-#define PASSED_MAX 16384
+#define ADMITTED_MAX 16384
 #define WAITING_MAX 64
 /* Answers on their way to a host beside each other. */
-#define ASKS_MAX 16
+#define TOKEN_REPLIES_MAX 16
 /* Least part of the rate that a team gets which asks for more. */
-#define PRESSED_PART 0.98
+#define OVERLOADED_MIN_FRACTION 0.98
 /* The same in the third second after the control leader changed. */
-#define SILENT_PART 0.9
+#define SILENT_HOST_MIN_FRACTION 0.9
 /* Time in which a new leader cannot know what its predecessor had left. */
 #define TAKEOVER_US (1200 * CFS_US_PER_MS)
-#define LONG_HOLD_US (900 * CFS_US_PER_MS)
-#define HOLD_US (300 * CFS_US_PER_MS)
+#define LONG_WAIT_MAX_US (900 * CFS_US_PER_MS)
+#define WAIT_MAX_US (300 * CFS_US_PER_MS)
 
 /* One answer on its way to a host. */
-struct answer
+struct pending_reply
 {
-  bool due;
-  int64_t at;
+  bool in_flight;
+  int64_t deliver_at;
   int64_t sent_at;
   double share;
-  bool known;
-  uint32_t asked;
+  bool authoritative;
+  uint32_t requested;
   uint32_t tokens;
 };
 
@@ -51,12 +51,12 @@
   bool up;
   bool cut;
   struct cfs_quota quota;
-  int64_t beat_at;
-  struct answer share;
-  struct answer tokens[ASKS_MAX];
-  size_t next_ask;
+  int64_t next_heartbeat_at;
+  struct pending_reply share_reply;
+  struct pending_reply token_replies[TOKEN_REPLIES_MAX];
+  size_t next_token_reply;
   double load;
-  bool told;
+  bool reported;
   int64_t idle_since;
   int64_t waiting[WAITING_MAX];
   size_t waiting_count;
@@ -69,15 +69,15 @@
   uint64_t seed;
   struct cfs_catalog *catalog;
   struct cfs_shares shares;
-  bool lossless;
-  int64_t hold_us;
+  bool reliable;
+  int64_t wait_max_us;
   struct host hosts[HOSTS];
-  int64_t passed[PASSED_MAX];
-  size_t count;
+  int64_t admitted_at[ADMITTED_MAX];
+  size_t admitted_count;
 };
 
 static uint64_t
-draw (struct world *w, uint64_t bound)
+random_below (struct world *w, uint64_t bound)
 {
   return cfs_random (&w->seed) % bound;
 }
@@ -87,9 +87,10 @@
 {
   cfs_quota_init (&h->quota, w->now);
   h->up = true;
-  h->beat_at = w->now + (int64_t)draw (w, 300) * CFS_US_PER_MS;
-  h->share.due = false;
-  memset (h->tokens, 0, sizeof h->tokens);
+  h->next_heartbeat_at
+      = w->now + (int64_t)random_below (w, 300) * CFS_US_PER_MS;
+  h->share_reply.in_flight = false;
+  memset (h->token_replies, 0, sizeof h->token_replies);
   h->waiting_count = 0;
 }
 
@@ -105,17 +106,17 @@
 {
   cfs_shares_reset (&w->shares, w->now + SHARE_EXPIRY_US);
   for (int i = 0; i < HOSTS; i++)
-    w->hosts[i].told = false;
+    w->hosts[i].reported = false;
 }
 
 static void
-trust_when_told (struct world *w)
+end_grace_when_all_reported (struct world *w)
 {
   int64_t idle_since = 0;
 
   for (int i = 0; i < HOSTS; i++)
     {
-      if (!w->hosts[i].told)
+      if (!w->hosts[i].reported)
         return;
       if (w->hosts[i].idle_since > idle_since)
         idle_since = w->hosts[i].idle_since;
@@ -124,82 +125,85 @@
 }
 
 static void
-beat (struct world *w, struct host *h)
+send_heartbeat (struct world *w, struct host *h)
 {
   const struct cfs_team_limits *t = &w->catalog->teams[0];
-  struct cfs_quota_team *r = cfs_table_add (&h->quota.teams, TEAM);
-  double held = w->now < h->quota.until ? r->share : 0;
+  struct cfs_quota_team *team = cfs_table_add (&h->quota.teams, TEAM);
+  double confirmed = w->now < h->quota.until ? team->share : 0;
 
-  h->beat_at = w->now + HEARTBEAT_STEP_US;
+  h->next_heartbeat_at = w->now + HEARTBEAT_US;
   if (h->cut)
     return;
-  if (!h->told)
-    h->idle_since = held > 0 ? w->now : h->quota.used_at;
-  h->told = true;
-  h->share.share = cfs_shares_assign (&w->shares, TEAM, t->rate, t->burst,
-                                      h->name, cfs_quota_demand (r, w->now),
-                                      held, w->now, w->now + SHARE_EXPIRY_US);
-  h->share.known = cfs_shares_is_accurate (&w->shares, w->now);
-  h->share.due = w->lossless || draw (w, 10) > 0;
-  h->share.sent_at = w->now;
-  h->share.at = w->now + (int64_t)draw (w, 60) * CFS_US_PER_MS;
+  if (!h->reported)
+    h->idle_since = confirmed > 0 ? w->now : h->quota.used_at;
+  h->reported = true;
+  h->share_reply.share
+      = cfs_shares_assign (&w->shares, TEAM, t->rate, t->burst, h->name,
+                           cfs_quota_demand (team, w->now), confirmed, w->now,
+                           w->now + SHARE_EXPIRY_US);
+  h->share_reply.authoritative = cfs_shares_is_accurate (&w->shares, w->now);
+  h->share_reply.in_flight = w->reliable || random_below (w, 10) > 0;
+  h->share_reply.sent_at = w->now;
+  h->share_reply.deliver_at
+      = w->now + (int64_t)random_below (w, 60) * CFS_US_PER_MS;
 }
 
 static void
-ask (struct world *w, struct host *h)
+request_tokens (struct world *w, struct host *h)
 {
   const struct cfs_team_limits *t = &w->catalog->teams[0];
-  struct cfs_quota_team *r = cfs_table_add (&h->quota.teams, TEAM);
-  uint32_t want = cfs_quota_tokens_to_request (r, w->now);
-  struct answer *a;
+  struct cfs_quota_team *team = cfs_table_add (&h->quota.teams, TEAM);
+  uint32_t want = cfs_quota_tokens_to_request (team, w->now);
+  struct pending_reply *pending;
 
   if (!want || h->cut)
     return;
-  a = &h->tokens[h->next_ask];
-  h->next_ask = (h->next_ask + 1) % ASKS_MAX;
-  a->asked = want;
-  a->known = cfs_shares_is_accurate (&w->shares, w->now);
-  a->tokens
+  pending = &h->token_replies[h->next_token_reply];
+  h->next_token_reply = (h->next_token_reply + 1) % TOKEN_REPLIES_MAX;
+  pending->requested = want;
+  pending->authoritative = cfs_shares_is_accurate (&w->shares, w->now);
+  pending->tokens
       = cfs_shares_grant (&w->shares, TEAM, t->rate, t->burst, want, w->now);
-  a->due = w->lossless || draw (w, 10) > 0;
-  a->sent_at = w->now;
-  a->at = w->now + (int64_t)draw (w, 60) * CFS_US_PER_MS;
+  pending->in_flight = w->reliable || random_below (w, 10) > 0;
+  pending->sent_at = w->now;
+  pending->deliver_at = w->now + (int64_t)random_below (w, 60) * CFS_US_PER_MS;
 }
 
 static void
-take_tokens (struct host *h, const struct answer *a)
+apply_token_reply (struct host *h, const struct pending_reply *pending)
 {
-  struct cfs_quota_token_reply answer = { .requested = a->asked,
-                                          .count = a->tokens,
-                                          .authoritative = a->known,
-                                          .sent_at = a->sent_at };
+  struct cfs_quota_token_reply reply
+      = { .requested = pending->requested,
+          .count = pending->tokens,
+          .authoritative = pending->authoritative,
+          .sent_at = pending->sent_at };
 
-  cfs_quota_add_tokens (&h->quota, TEAM, &answer);
+  cfs_quota_add_tokens (&h->quota, TEAM, &reply);
 }
 
 static void
-take_answers (struct world *w, struct host *h)
+receive_replies (struct world *w, struct host *h)
 {
-  if (h->share.due && w->now >= h->share.at)
+  if (h->share_reply.in_flight && w->now >= h->share_reply.deliver_at)
     {
-      Cfs__TeamShare row = CFS__TEAM_SHARE__INIT;
-      Cfs__TeamShare *list[1] = { &row };
+      Cfs__TeamShare share = CFS__TEAM_SHARE__INIT;
+      Cfs__TeamShare *list[1] = { &share };
 
-      row.team = (char *)TEAM;
-      row.share = h->share.share;
-      row.known = h->share.known;
+      share.team = (char *)TEAM;
+      share.share = h->share_reply.share;
+      share.known = h->share_reply.authoritative;
       cfs_quota_update (&h->quota, list, 1, w->catalog,
-                        h->share.sent_at + SHARE_LEASE_US, w->now);
-      h->share.due = false;
+                        h->share_reply.sent_at + SHARE_LEASE_US, w->now);
+      h->share_reply.in_flight = false;
     }
-  for (size_t i = 0; i < ASKS_MAX; i++)
+  for (size_t i = 0; i < TOKEN_REPLIES_MAX; i++)
     {
-      struct answer *a = &h->tokens[i];
+      struct pending_reply *pending = &h->token_replies[i];
 
-      if (!a->due || w->now < a->at)
+      if (!pending->in_flight || w->now < pending->deliver_at)
         continue;
-      a->due = false;
-      take_tokens (h, a);
+      pending->in_flight = false;
+      apply_token_reply (h, pending);
     }
 }
 
@@ -214,11 +218,11 @@
   for (size_t i = 0; i < h->waiting_count; i++)
     if (cfs_quota_take (&h->quota, TEAM, w->now, &wait))
       {
-        if (w->count < PASSED_MAX)
-          w->passed[w->count++] = w->now;
+        if (w->admitted_count < ADMITTED_MAX)
+          w->admitted_at[w->admitted_count++] = w->now;
         cfs_quota_count_waiting (&h->quota, TEAM, false);
       }
-    else if (w->now - h->waiting[i] > w->hold_us
+    else if (w->now - h->waiting[i] > w->wait_max_us
              || cfs_quota_denied (&h->quota, TEAM, h->waiting[i], w->now))
       {
         h->refused++;
@@ -234,10 +238,10 @@
 {
   if (!h->up)
     return;
-  take_answers (w, h);
-  if (w->now >= h->beat_at)
-    beat (w, h);
-  if ((double)draw (w, 1000) < h->load * STEP_US / 1000
+  receive_replies (w, h);
+  if (w->now >= h->next_heartbeat_at)
+    send_heartbeat (w, h);
+  if ((double)random_below (w, 1000) < h->load * STEP_US / 1000
       && h->waiting_count < WAITING_MAX)
     {
       cfs_quota_count_demand (&h->quota, TEAM, w->now);
@@ -245,15 +249,15 @@
       h->waiting[h->waiting_count++] = w->now;
     }
   serve_waiting (w, h);
-  ask (w, h);
+  request_tokens (w, h);
 }
 
 static void
-draw_event (struct world *w)
+random_event (struct world *w)
 {
-  struct host *h = &w->hosts[draw (w, HOSTS)];
+  struct host *h = &w->hosts[random_below (w, HOSTS)];
 
-  switch (draw (w, 1500))
+  switch (random_below (w, 1500))
     {
     case 0:
       change_leader (w);
@@ -271,7 +275,7 @@
       h->cut = !h->cut;
       break;
     case 5:
-      h->load = (double)draw (w, 60);
+      h->load = (double)random_below (w, 60);
       break;
     case 6:
       for (int i = 0; i < HOSTS; i++)
@@ -290,14 +294,15 @@
 }
 
 static bool
-windows_hold (const struct world *w, uint64_t seed)
+all_windows_within_limit (const struct world *w, uint64_t seed)
 {
   const struct cfs_team_limits *t = &w->catalog->teams[0];
 
-  for (size_t i = 0; i < w->count; i++)
-    for (size_t k = i; k < w->count; k++)
+  for (size_t i = 0; i < w->admitted_count; i++)
+    for (size_t k = i; k < w->admitted_count; k++)
       {
-        double span = (double)(w->passed[k] - w->passed[i]) / CFS_US_PER_S;
+        double span
+            = (double)(w->admitted_at[k] - w->admitted_at[i]) / CFS_US_PER_S;
 
         if ((double)(k - i + 1) <= t->rate * span + t->burst + 1)
           continue;
@@ -329,13 +334,13 @@
   memset (w, 0, sizeof *w);
   w->seed = seed * UINT64_C (0x9E3779B97F4A7C15) + 1;
   w->now = 10 * CFS_US_PER_S;
-  w->hold_us = HOLD_US;
+  w->wait_max_us = WAIT_MAX_US;
   w->catalog = make_catalog (rate, burst);
   cfs_shares_init (&w->shares);
   for (int i = 0; i < HOSTS; i++)
     {
       snprintf (w->hosts[i].name, sizeof w->hosts[i].name, "h%d", i + 1);
-      w->hosts[i].load = (double)draw (w, 40);
+      w->hosts[i].load = (double)random_below (w, 40);
       start_host (w, &w->hosts[i]);
     }
   change_leader (w);
@@ -355,11 +360,11 @@
 step_world (struct world *w, bool events)
 {
   w->now += STEP_US;
-  trust_when_told (w);
+  end_grace_when_all_reported (w);
   for (int i = 0; i < HOSTS; i++)
     step_host (w, &w->hosts[i]);
   if (events)
-    draw_event (w);
+    random_event (w);
 }
 
 static bool
@@ -371,7 +376,7 @@
   start_world (&w, seed, (double)(20 + seed % 60), (double)(20 + seed % 60));
   while (w.now < 10 * CFS_US_PER_S + RUN_US)
     step_world (&w, true);
-  ok = windows_hold (&w, seed);
+  ok = all_windows_within_limit (&w, seed);
   end_world (&w);
   return ok;
 }
@@ -405,9 +410,10 @@
     step_world (&w, false);
   for (int i = 0; i < HOSTS; i++)
     {
-      struct cfs_quota_team *r = cfs_table_add (&w.hosts[i].quota.teams, TEAM);
+      struct cfs_quota_team *team
+          = cfs_table_add (&w.hosts[i].quota.teams, TEAM);
 
-      granted += r->granted;
+      granted += team->granted;
       refused += w.hosts[i].refused;
     }
   if (getenv ("TRACE"))
@@ -420,44 +426,46 @@
 /* Hosts that ask for more than the rate, some for little: nearly all of the
    rate is used. */
 static void
-a_pressed_team_gets_its_rate (void **state)
+an_overloaded_team_gets_its_rate (void **state)
 {
   static struct world w;
   static const double loads[HOSTS] = { 12, 10, 6, 4, 1 };
   const double rate = 22;
-  size_t from;
+  size_t admitted_before;
 
   (void)state;
   start_world (&w, 6, rate, rate);
-  w.lossless = true;
+  w.reliable = true;
   for (int i = 0; i < HOSTS; i++)
     w.hosts[i].load = loads[i];
   while (w.now < 20 * CFS_US_PER_S)
     step_world (&w, false);
-  from = w.count;
+  admitted_before = w.admitted_count;
   while (w.now < 60 * CFS_US_PER_S)
     step_world (&w, false);
   if (getenv ("TRACE"))
-    printf ("%zu of %g passed\n", w.count - from, rate * 40);
-  assert_true ((double)(w.count - from) >= PRESSED_PART * rate * 40);
-  assert_true (windows_hold (&w, 6));
+    printf ("%zu of %g passed\n", w.admitted_count - admitted_before,
+            rate * 40);
+  assert_true ((double)(w.admitted_count - admitted_before)
+               >= OVERLOADED_MIN_FRACTION * rate * 40);
+  assert_true (all_windows_within_limit (&w, 6));
   end_world (&w);
 }
 
 /* One host is frozen while the control leader changes: it may hold a share,
    which must not keep half of the rate back for long. */
 static void
-a_silent_host_does_not_halve_the_rate (void **state)
+a_silent_host_does_not_reserve_half_the_rate (void **state)
 {
   static struct world w;
   static const double loads[HOSTS] = { 12, 10, 6, 4, 0 };
   const double rate = 22;
   int64_t since;
-  size_t from;
+  size_t admitted_before;
 
   (void)state;
   start_world (&w, 8, rate, rate);
-  w.lossless = true;
+  w.reliable = true;
   for (int i = 0; i < HOSTS; i++)
     w.hosts[i].load = loads[i];
   while (w.now < 20 * CFS_US_PER_S)
@@ -467,18 +475,19 @@
   since = w.now + 2 * CFS_US_PER_S;
   while (w.now < since)
     step_world (&w, false);
-  from = w.count;
+  admitted_before = w.admitted_count;
   while (w.now < since + CFS_US_PER_S)
     step_world (&w, false);
-  assert_true ((double)(w.count - from) >= SILENT_PART * rate);
-  assert_true (windows_hold (&w, 8));
+  assert_true ((double)(w.admitted_count - admitted_before)
+               >= SILENT_HOST_MIN_FRACTION * rate);
+  assert_true (all_windows_within_limit (&w, 8));
   end_world (&w);
 }
 
 /* A team whose shares are too small to be given out, while the control
    leader changes: its operations wait for the new one. */
 static void
-a_new_leader_refuses_nobody_within_the_rate (void **state)
+a_new_leader_refuses_no_operation_within_the_rate (void **state)
 {
   static struct world w;
   static const double loads[HOSTS] = { 2, 1, 1, 1, 1 };
@@ -486,8 +495,8 @@
 
   (void)state;
   start_world (&w, 7, 10, 10);
-  w.lossless = true;
-  w.hold_us = LONG_HOLD_US;
+  w.reliable = true;
+  w.wait_max_us = LONG_WAIT_MAX_US;
   for (int i = 0; i < HOSTS; i++)
     w.hosts[i].load = loads[i];
   while (w.now < 20 * CFS_US_PER_S)
@@ -507,7 +516,7 @@
         step_world (&w, false);
     }
   assert_int_equal (refused, 0);
-  assert_true (windows_hold (&w, 7));
+  assert_true (all_windows_within_limit (&w, 7));
   end_world (&w);
 }
 
@@ -516,9 +525,9 @@
 {
   const struct CMUnitTest tests[]
       = { cmocka_unit_test (a_team_within_its_rate_is_served),
-          cmocka_unit_test (a_pressed_team_gets_its_rate),
-          cmocka_unit_test (a_silent_host_does_not_halve_the_rate),
-          cmocka_unit_test (a_new_leader_refuses_nobody_within_the_rate),
+          cmocka_unit_test (an_overloaded_team_gets_its_rate),
+          cmocka_unit_test (a_silent_host_does_not_reserve_half_the_rate),
+          cmocka_unit_test (a_new_leader_refuses_no_operation_within_the_rate),
           cmocka_unit_test (no_window_exceeds_rate_and_burst) };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
