--- a/tests/unit/disk.c
+++ b/tests/unit/disk.c
@@ -94,7 +94,7 @@
   off_t after;
 
   (void)state;
-  for (off_t cut = 0;; cut++)
+  for (off_t partial = 0;; partial++)
     {
       struct cfs_disk *d;
 
@@ -105,9 +105,9 @@
       append_entries (d, 4, 1);
       after = log_size (folder, path);
       cfs_disk_close (d);
-      if (before + cut >= after)
+      if (before + partial >= after)
         break;
-      assert_int_equal (truncate (path, before + cut), 0);
+      assert_int_equal (truncate (path, before + partial), 0);
       d = open_disk (folder, &initial);
       assert_non_null (d);
       assert_int_equal (initial.count, 3);
--- a/tests/unit/session_random.c
+++ b/tests/unit/session_random.c
@@ -42,12 +42,13 @@
 }
 
 static void
-every_operation_succeeds_without_faults (void **state)
+no_operation_is_refused_without_faults (void **state)
 {
   (void)state;
-  for (int kind = 0; kind < 3; kind++)
+  for (int consistency = 0; consistency < 3; consistency++)
     {
-      struct world_sessions *w = ws_new (7, (enum cfs_consistency)kind, false);
+      struct world_sessions *w
+          = ws_new (7, (enum cfs_consistency)consistency, false);
 
       ws_run (w, RUN_US);
       assert_null (ws_check_end (w));
@@ -62,7 +63,7 @@
 {
   cfs_log_open ("test", getenv ("TRACE") ? CFS_INFO : CFS_ERR);
   const struct CMUnitTest tests[]
-      = { cmocka_unit_test (every_operation_succeeds_without_faults),
+      = { cmocka_unit_test (no_operation_is_refused_without_faults),
           cmocka_unit_test (guarantees_hold_under_random_schedules) };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
