--- a/tests/unit/control_random.c
+++ b/tests/unit/control_random.c
@@ -1,6 +1,7 @@
 /*
- * Random schedules of the control group: crashes, freezes, cuts, loss,
- * duplicates, drifting clocks and lost disks.  Prints the seed that fails.
+ * The control group under random schedules of crashes, process pauses,
+ * network partitions, lost and duplicated messages, clock drift and lost
+ * disks.  Prints each seed that fails.
  */
 #include "../world/control.h"
 #include "../world/seeds.h"
@@ -28,8 +29,8 @@
   wc_patch (w, i, base, "{\"teams\":{\"a\":{\"rate\":10,\"burst\":10}}}", id);
 }
 
-/* Whether a disk may be lost now: all voters run, none is being repaired,
-   and the repaired state is committed. */
+/* Whether a disk may be lost now: all voters run and have committed as much
+   as the leader, and no member is still a learner. */
 static bool
 all_voters_caught_up (struct world_control *w)
 {
@@ -114,24 +115,25 @@
     w->agents[i].frozen = w->agents[i].cut = false;
 }
 
-/* After healing: a leader, a holder, and every host at the last version. */
+/* After healing there is a leader, exactly one member host holds the gate,
+   and every host has the last accepted version. */
 static const char *
 check_after_heal (struct world_control *w)
 {
   int holders = 0;
 
   if (wc_find_leader (w) < 0)
-    return "no leader after healing";
+    return "no control leader after healing";
   for (unsigned i = 0; i < WC_VOTERS; i++)
     if (w->hosts[i].state.version != w->accepted_count)
-      return "a version is missing after healing";
+      return "a control host lacks an accepted version after healing";
   for (unsigned i = 0; i < WC_AGENTS; i++)
     {
       holders += wc_holds_lease (w, i, "gate/orders");
       if (w->agents[i].version != w->accepted_count)
-        return "a version is not in force after healing";
+        return "a member host lacks an accepted version after healing";
     }
-  return holders == 1 ? NULL : "no holder after healing";
+  return holders == 1 ? NULL : "not exactly one gate holder after healing";
 }
 
 static bool
--- a/tests/unit/decoders.c
+++ b/tests/unit/decoders.c
@@ -1,6 +1,7 @@
 /*
- * Everything that takes bytes from outside the process: exact cases, and a
- * seeded mutator that must never crash a decoder (run under sanitizers too).
+ * Decoders of all input from outside the process: fixed cases, and random
+ * mutations from a fixed seed that must never crash a decoder (also run under
+ * sanitizers).
  */
 #include "../../src/connection/token.h"
 #include "../../src/process/message_codec.h"
@@ -40,7 +41,8 @@
       "},\"sheets\":{\"s\":{\"group\":\"g\",\"team\":\"a\",\"sql\":\"SELECT "
       "1\"}},\"groups\":{\"g\":{\"ack\":\"majority\",\"instances\":3}}}";
 
-/* Parses settings after one text was replaced by another. */
+/* Parses the settings with @from replaced by @to.  Expects the error @message,
+   or success if it is NULL. */
 static void
 expect_settings (const char *from, const char *to, const char *message)
 {
@@ -182,7 +184,8 @@
   assert_false (cfs_sql_allowed (""));
 }
 
-/* Changes, cuts or doubles some bytes; keeps the text terminated. */
+/* Copies @from to @to, of BUFFER_BYTES, and overwrites bytes, cuts the end off
+   or doubles it, 1 to 6 times.  Returns the length; adds a null byte. */
 static size_t
 mutate (uint64_t *seed, const char *from, size_t len, char *to)
 {
@@ -290,7 +293,7 @@
   cfs_state_end (&s);
 }
 
-/* A document with hundreds of routes, as a reply carries it. */
+/* A document with 400 routes, as a heartbeat reply carries it. */
 static char *
 make_large_document (void)
 {
--- a/tests/unit/disk.c
+++ b/tests/unit/disk.c
@@ -1,6 +1,7 @@
 /*
- * The files of a control host: a torn tail at every byte, damage in the
- * middle, a snapshot, and a folder that is in use or new.
+ * Durable files of a control host: a last record torn at every byte,
+ * corruption before it, a snapshot, and a data folder that is new or already
+ * initialized.
  */
 #include "../../src/process/disk.h"
 
@@ -84,6 +85,8 @@
   return st.st_size;
 }
 
+/* A crash during an append leaves part of a record.  It is removed on open,
+   and the log accepts entries again. */
 static void
 a_log_tail_torn_at_any_byte_is_removed (void **state)
 {
@@ -123,6 +126,8 @@
   remove_folder (folder);
 }
 
+/* A valid record follows the corrupt byte, so this is no torn append: cutting
+   the log there would lose stored entries. */
 static void
 corruption_before_the_tail_is_an_error (void **state)
 {
--- a/tests/unit/failover_random.c
+++ b/tests/unit/failover_random.c
@@ -1,9 +1,9 @@
 /*
- * Changes of primary under random schedules: instances that crash, fall
- * behind or cannot be reached, orders that are lost or carried out late,
- * leaders that change in the middle.  No acknowledged commit may be missing
- * in the log of an instance that is made primary, and once all is calm an
- * instance leads.
+ * Failovers under random schedules: instances that crash, lag or are
+ * unreachable, promotion requests that are lost or executed late, control
+ * leaders that change during a failover.  The log of a promoted instance must
+ * contain every acknowledged commit, and after the faults have ended the
+ * group must have a primary.
  */
 #include "../../src/process/log.h"
 #include "../world/seeds.h"
@@ -15,7 +15,8 @@
 
 #include <cmocka.h>
 
-/* Time from a dead primary to the next, with the control group whole. */
+/* Maximum time from the failure of a primary to the promotion of the next,
+   with a complete control group. */
 #define FAILOVER_MAX_US (4 * CFS_US_PER_S)
 
 static void
@@ -39,7 +40,8 @@
   wf_end ();
 }
 
-/* One replica is out of reach: it may hold the only copy of a commit. */
+/* After the primary has failed, an unreachable replica may hold the only copy
+   of a commit. */
 static void
 no_promotion_while_a_replica_is_unreachable (void **state)
 {
@@ -57,7 +59,8 @@
   wf_end ();
 }
 
-/* It answers the control leader and has as much as any other. */
+/* The suspected primary still answers the control leader, and no other log is
+   longer than its own. */
 static void
 a_primary_that_hosts_suspect_is_replaced (void **state)
 {
--- a/tests/unit/failover_unknown.c
+++ b/tests/unit/failover_unknown.c
@@ -1,6 +1,7 @@
 /*
- * A planned change of primary while an instance receives that has not
- * announced itself yet: a commit may be acknowledged by its receipt alone.
+ * Planned failover while a replica that has not announced itself yet receives
+ * the log.  The primary may acknowledge a commit that only this replica has
+ * received, so promoting the other one would lose the commit.
  */
 #include "../../src/process/log.h"
 #include "../world/seeds.h"
--- a/tests/unit/gate_random.c
+++ b/tests/unit/gate_random.c
@@ -1,7 +1,7 @@
 /*
- * Random schedules of one group: instances die, freeze, are cut off; gate
- * hosts die, freeze and lose the control group; callers send again under
- * their key.  Prints the seed that fails.
+ * One group under random schedules: instances crash, pause or are
+ * partitioned; gate hosts crash, pause or lose the control group; callers
+ * retry writes with the same idempotency key.  Prints each seed that fails.
  */
 #include "../world/gate.h"
 #include "../world/seeds.h"
@@ -39,7 +39,8 @@
                kind == 6 ? 200000 : 5 * CFS_US_PER_S);
 }
 
-/* Callers go on with their transactions and repeat unsure keyed writes. */
+/* Continues open transactions and retries writes with an idempotency key
+   whose outcome is not CFS_DONE. */
 static void
 continue_callers (struct world_gate *w)
 {
--- a/tests/unit/leader.c
+++ b/tests/unit/leader.c
@@ -1,6 +1,8 @@
 /*
- * The leader's decisions one by one, with a log that applies when told to:
- * the race between a move of a gate and a heartbeat of its old holder.
+ * Lease decisions of the control leader, with a log that applies a command
+ * only on request.  Covers a heartbeat of a gate's old holder that arrives
+ * after the move of the gate was proposed and before it is applied: a renewal
+ * at that moment could leave the gate with two holders.
  */
 #include "../../src/process/leader.h"
 
@@ -13,7 +15,7 @@
 
 #define TICK_US (100 * CFS_US_PER_MS)
 
-/* A log of one packed command that waits to be applied. */
+/* A leader whose log holds one packed command until apply() is called. */
 struct fixture
 {
   struct cfs_state state;
@@ -84,7 +86,7 @@
   return cfs_table_find (&f->state.leases, "gate/orders");
 }
 
-/* Group known, gate held by h1. */
+/* The group is known to the leader, and h1 holds its gate. */
 static struct fixture *
 new_fixture (void)
 {
--- a/tests/unit/limit_random.c
+++ b/tests/unit/limit_random.c
@@ -1,7 +1,8 @@
 /*
- * Random schedules of one team's limiter: hosts and limiters die, messages
- * are lost, late and doubled, demand is up to eight times the rate.  In
- * every window of t seconds at most burst + rate * t may be admitted.
+ * The limiter of one team under random schedules: hosts and limiters fail,
+ * messages are lost, delayed and duplicated, demand is up to eight times the
+ * rate.  In every window of t seconds at most burst + rate * t operations may
+ * be admitted.
  */
 #include "../world/limit.h"
 #include "../world/seeds.h"
@@ -47,7 +48,7 @@
     }
   ok = w->over == 0 && w->admitted > 0;
   if (!ok)
-    printf ("seed %llu: %llu admitted beyond the bound of %llu\n",
+    printf ("seed %llu: %llu of %llu admitted operations exceed the limit\n",
             (unsigned long long)seed, (unsigned long long)w->over,
             (unsigned long long)w->admitted);
   wl_end (w);
@@ -62,7 +63,7 @@
   assert_int_equal (seeds_failed (run_seed), 0);
 }
 
-/* Counts what admission lets through and keeps the last ask. */
+/* Number of admitted operations and id of the last token request. */
 struct admission_record
 {
   unsigned admitted;
--- a/tests/unit/members.c
+++ b/tests/unit/members.c
@@ -1,8 +1,8 @@
 /*
- * Members that find one another: machines replaced at another address or
- * with an empty disk, planned stops, more machines than voters.  The log
- * goes on and nothing committed is lost, as long as one member is lost at a
- * time and each repair has its four seconds.
+ * Membership changes of the control group: hosts replaced by new ones or
+ * restarted with an empty disk, planned stops, more members than voters.  The
+ * log must advance and no committed entry may be lost, as long as one member
+ * fails at a time and each repair has four seconds.
  */
 #include "../../src/process/raft.h"
 #include "../world/seeds.h"
@@ -151,7 +151,8 @@
   out->to = (unsigned)(host[1] - '1');
 }
 
-/* A value is its own number; the order is the same at every member. */
+/* Records an applied value and checks that all members apply the same values
+   in the same order. */
 static void
 record_committed_value (struct member *m, uint64_t value)
 {
@@ -319,8 +320,8 @@
     w->proposed_count++;
 }
 
-/* Messages that are sent while others are handed over wait for the next
-   step: the list is taken first. */
+/* Delivers the messages that are due and ticks all members.  The queue is
+   copied first: messages sent during delivery wait for the next step. */
 static void
 step (struct world *w)
 {
@@ -377,7 +378,8 @@
   return count;
 }
 
-/* A planned stop: the member runs on until its replacement has its vote. */
+/* Planned stop: if the group has a spare member, waits up to 2.5 s for it to
+   get the vote. */
 static void
 stop_as_planned (struct world *w, unsigned i)
 {
@@ -398,7 +400,8 @@
   assert_true (w->committed_count > before);
 }
 
-/* The day that found it: a member goes for good, the next loses its disk. */
+/* c4 takes the place of c1, which is stopped for good; then c2 loses its disk.
+   This sequence has failed before. */
 static void
 a_voter_that_lost_its_disk_rejoins_after_a_replacement (void **state)
 {
@@ -420,7 +423,7 @@
   free_world (w);
 }
 
-/* Without a word: the successor comes two seconds later. */
+/* c3 fails without notice; its replacement c5 starts two seconds later. */
 static void
 a_failed_voter_is_replaced (void **state)
 {
@@ -454,7 +457,7 @@
   free_world (w);
 }
 
-/* A restart of each in turn changes no vote. */
+/* A planned restart of each member in turn takes no vote away. */
 static void
 a_rolling_restart_keeps_the_voters (void **state)
 {
@@ -474,7 +477,7 @@
   free_world (w);
 }
 
-/* With TRACE: the event and every member's view. */
+/* If TRACE is set, prints the event and the state of every member. */
 static void
 trace (struct world *w, const char *event, unsigned i)
 {
@@ -501,7 +504,8 @@
     }
 }
 
-/* Whole documents of 64 KB: neither log nor messages grow without bound. */
+/* Entries of 64 KB, like whole configuration documents: neither the log nor
+   the messages may grow without bound. */
 static void
 large_entries_trigger_a_snapshot (void **state)
 {
@@ -552,7 +556,7 @@
       stop (w, member);
       if (disk_lost)
         lose_disk (w, member);
-      trace (w, disk_lost ? "stopped and wiped" : "stopped", member);
+      trace (w, disk_lost ? "stopped, disk lost" : "stopped", member);
       run (w, (int64_t)random_below (w, 3000) * CFS_US_PER_MS);
       if (next_spare < HOSTS && random_below (w, 4) == 0)
         member = next_spare++;
@@ -562,11 +566,12 @@
     }
   before = w->committed_count;
   run (w, 4 * CFS_US_PER_S);
-  trace (w, "last", 0);
+  trace (w, "end of run", 0);
   ok = !w->violation && w->committed_count > before;
   if (!ok)
     printf ("seed %llu: %s\n", (unsigned long long)seed,
-            w->violation ? w->violation : "the log does not go on");
+            w->violation ? w->violation
+                         : "the log does not advance after the last repair");
   free_world (w);
   return ok;
 }
--- a/tests/unit/platform.c
+++ b/tests/unit/platform.c
@@ -1,6 +1,7 @@
 /*
- * The decoders of the platform's messages: scripted input with expected
- * output, mutated input that must do no harm, lines that come in pieces.
+ * Decoders of the platform's documents, reports and line protocol: fixed
+ * input with expected results, mutated input that must never crash a decoder,
+ * and lines that arrive in several chunks.
  */
 #include "../../platform/document.h"
 #include "../../platform/line_conn.h"
@@ -37,7 +38,7 @@
       "\"cold_remaining_ms\":0,\"db_role\":\"replica\",\"sequence\":4,"
       "\"born\":1700000000000}";
 
-/* Replaces the first @from of a text; freed by g_free(). */
+/* Returns a copy with the first @from replaced, freed by g_free(). */
 static char *
 replace_first (const char *text, const char *from, const char *to)
 {
@@ -149,7 +150,8 @@
   assert_false (report_decode (report, "", &t));
 }
 
-/* Each line: what a caller sends, and what an instance gets. */
+/* A caller's statement is sent to the instance as it is, after the word QUERY
+   and an id. */
 static void
 statements_are_forwarded_unchanged (void **state)
 {
@@ -243,7 +245,7 @@
     }
 }
 
-/* What a connection told its owner. */
+/* Events of a connection, as its owner received them. */
 struct recorder
 {
   GString *lines;
@@ -268,7 +270,8 @@
 
 static const struct line_conn_events events = { NULL, on_line, on_closed };
 
-/* Sends @text in pieces of @piece bytes and gives what was heard. */
+/* Sends @text in chunks of @chunk bytes.  Returns the lines received, each in
+   brackets, freed by g_free(); @closed counts closing events. */
 static char *
 receive_in_chunks (const char *text, size_t len, size_t chunk,
                    unsigned *closed)
--- a/tests/unit/pool.c
+++ b/tests/unit/pool.c
@@ -1,6 +1,7 @@
 /*
- * What a host does before an instance that has no room: it must not keep the
- * instance busy with attempts, and must be back soon once there is room.
+ * Backoff of a host from an instance without free capacity: its attempts must
+ * not keep the instance busy, and it must use the instance again soon after
+ * capacity becomes free.
  */
 #include "../../src/connection/pool.h"
 #include "../../src/process/log.h"
@@ -15,11 +16,11 @@
 
 #define STEP_US (5 * CFS_US_PER_MS)
 #define LATENCY_US (20 * CFS_US_PER_MS)
-/* Time in which the instance has no room, and attempts that it may get from
-   one host of many in that time. */
+/* Time for which the instance has no capacity, and maximum number of attempts
+   from one of many hosts in that time. */
 #define OVERLOAD_US (5 * CFS_US_PER_S)
 #define ATTEMPTS_MAX 20
-/* Time until it is used again after it has room. */
+/* Maximum time until it is used again once it has capacity. */
 #define RECOVERY_MAX_US (1500 * CFS_US_PER_MS)
 
 struct fake_conn
@@ -177,7 +178,8 @@
   run_overload (REPLY_BUSY);
 }
 
-/* Reads pass over an instance whose log stays behind, ever longer. */
+/* The time for which reads avoid an instance grows as long as its log stays
+   behind. */
 static void
 reads_back_off_while_a_log_stays_behind (void **state)
 {
--- a/tests/unit/scenarios.c
+++ b/tests/unit/scenarios.c
@@ -1,7 +1,8 @@
 /*
- * Runs tests/scenarios/NAME.scn and compares its trace with NAME.expected.
- * One command a line; '#' starts a comment.  The first line names the world:
- * "world gate" or "world control".  UPDATE=1 writes the traces anew.
+ * Runs each tests/scenarios/NAME.scn and compares its trace with
+ * NAME.expected.  A scenario has one command per line; '#' starts a comment.
+ * The first command selects the simulation: "world gate" or "world control".
+ * UPDATE=1 in the environment rewrites the expected traces.
  */
 #include "../world/control.h"
 #include "../world/gate.h"
@@ -216,7 +217,7 @@
   fputc ('\n', s->out);
 }
 
-/* patch ID base N [host C]: goes to the leader unless a host is named. */
+/* "patch ID base N [host C]": proposes a patch, by default at the leader. */
 static void
 propose_patch (struct scenario *s)
 {
@@ -427,8 +428,8 @@
   expected = read_text (path);
   same = strcmp (actual, expected) == 0;
   if (!same)
-    printf ("%s differs; it gave:\n%s\nexpected was:\n%s\n", name, actual,
-            expected);
+    printf ("%s differs; actual trace:\n%s\nexpected trace:\n%s\n", name,
+            actual, expected);
   free (actual);
   free (expected);
   return same;
--- a/tests/unit/session_random.c
+++ b/tests/unit/session_random.c
@@ -1,7 +1,8 @@
 /*
- * Sessions under random schedules: answers lost, links broken, orders
- * carried out late, replicas that lag, primaries replaced, callers that
- * leave.  Each kind of route; every statement and reply is checked.
+ * Sessions under random schedules: lost replies, connections that break while
+ * a write is still executed, lagging replicas, failovers, callers that
+ * disconnect.  Runs with each consistency level of a route; every statement
+ * and reply is checked.
  */
 #include "../../src/process/log.h"
 #include "../world/seeds.h"
--- a/tests/unit/shares_random.c
+++ b/tests/unit/shares_random.c
@@ -1,7 +1,8 @@
 /*
- * The division of a rate under random schedules: hosts that restart, come
- * and go, messages that are late or lost, leaders that change.  In no window
- * may more pass than rate and burst allow.
+ * Division of a team's rate among hosts under random schedules: hosts that
+ * stop, restart or are partitioned, messages that are delayed or lost, control
+ * leaders that change.  No window of time may admit more operations than rate
+ * and burst allow.
  */
 #include "../../src/process/shares.h"
 #include "../../src/request/quota.h"
@@ -22,18 +23,22 @@
 #define RUN_US (25 * CFS_US_PER_S)
 #define ADMITTED_MAX 16384
 #define WAITING_MAX 64
-/* Answers on their way to a host beside each other. */
+/* Maximum number of token replies on their way to one host. */
 #define TOKEN_REPLIES_MAX 16
-/* Least part of the rate that a team gets which asks for more. */
+/* Minimum fraction of its rate that a team with a higher demand must get. */
 #define OVERLOADED_MIN_FRACTION 0.98
-/* The same in the third second after the control leader changed. */
+/* The same in the third second after a change of control leader, with a host
+   that sends no heartbeats. */
 #define SILENT_HOST_MIN_FRACTION 0.9
-/* Time in which a new leader cannot know what its predecessor had left. */
+/* Time in which a new leader cannot know how much of the rate its predecessor
+   had left. */
 #define TAKEOVER_US (1200 * CFS_US_PER_MS)
+/* Time after which a waiting operation is refused; the longer one in the test
+   of leader changes. */
 #define LONG_WAIT_MAX_US (900 * CFS_US_PER_MS)
 #define WAIT_MAX_US (300 * CFS_US_PER_MS)
 
-/* One answer on its way to a host. */
+/* A reply of the control leader on its way to a host. */
 struct pending_reply
 {
   bool in_flight;
@@ -207,8 +212,8 @@
     }
 }
 
-/* Lets the operations pass that have waited longest, and gives up old ones.
- */
+/* Admits waiting operations, oldest first, while there are tokens.  Refuses
+   those that were denied or have waited too long. */
 static void
 serve_waiting (struct world *w, struct host *h)
 {
@@ -306,7 +311,7 @@
 
         if ((double)(k - i + 1) <= t->rate * span + t->burst + 1)
           continue;
-        printf ("seed %llu: %zu passed in %.3f s, rate %g burst %g\n",
+        printf ("seed %llu: %zu admitted in %.3f s, rate %g burst %g\n",
                 (unsigned long long)seed, k - i + 1, span, t->rate, t->burst);
         return false;
       }
@@ -388,8 +393,8 @@
   assert_int_equal (seeds_failed (run_seed), 0);
 }
 
-/* Hosts that ask for two thirds of the rate, unevenly: at most one in a
-   thousand is refused once shares are out. */
+/* Uneven demand of two thirds of the rate in total: once shares are leased, at
+   most one operation in a thousand is refused. */
 static void
 a_team_within_its_rate_is_served (void **state)
 {
@@ -423,8 +428,8 @@
   end_world (&w);
 }
 
-/* Hosts that ask for more than the rate, some for little: nearly all of the
-   rate is used. */
+/* Demand above the rate, little of it at some hosts: nearly all of the rate is
+   used. */
 static void
 an_overloaded_team_gets_its_rate (void **state)
 {
@@ -444,7 +449,7 @@
   while (w.now < 60 * CFS_US_PER_S)
     step_world (&w, false);
   if (getenv ("TRACE"))
-    printf ("%zu of %g passed\n", w.admitted_count - admitted_before,
+    printf ("%zu of %g admitted\n", w.admitted_count - admitted_before,
             rate * 40);
   assert_true ((double)(w.admitted_count - admitted_before)
                >= OVERLOADED_MIN_FRACTION * rate * 40);
@@ -452,8 +457,8 @@
   end_world (&w);
 }
 
-/* One host is frozen while the control leader changes: it may hold a share,
-   which must not keep half of the rate back for long. */
+/* One host cannot be reached while the control leader changes.  It may hold a
+   share, for which half of the rate must not stay reserved for long. */
 static void
 a_silent_host_does_not_reserve_half_the_rate (void **state)
 {
@@ -484,8 +489,9 @@
   end_world (&w);
 }
 
-/* A team whose shares are too small to be given out, while the control
-   leader changes: its operations wait for the new one. */
+/* The shares of the team are too small to be leased, so all of its operations
+   need tokens.  While the control leader changes, they wait for the new one
+   instead of being refused. */
 static void
 a_new_leader_refuses_no_operation_within_the_rate (void **state)
 {
