--- a/bench/bench_limit.c
+++ b/bench/bench_limit.c
@@ -65,9 +65,9 @@
       wl_run (w, WL_STEP_US);
     }
   wl_run (w, 2 * PATIENCE_US);
-  out.within = w->within;
-  out.wrongful = w->wrongful;
-  out.over = w->over;
+  out.within = w->arrived_within_rate;
+  out.wrongful = w->refused_within_rate;
+  out.over = w->admitted_over_bound;
   out.worst_wait_ms = w->worst_wait_us / CFS_US_PER_MS;
   out.messages_per_request
       = (double)w->messages_sent / (double)(w->arrived ? w->arrived : 1);
--- a/tests/unit/control_random.c
+++ b/tests/unit/control_random.c
@@ -150,14 +150,14 @@
   for (unsigned i = 0; i < WC_AGENTS; i++)
     w->agents[i].drift_ppm = (int)(cfs_random (&w->seed) % DRIFT_MAX_PPM);
   wc_run (w, 4 * CFS_US_PER_S);
-  for (int i = 0; i < EVENT_COUNT && !w->fault; i++)
+  for (int i = 0; i < EVENT_COUNT && !w->violation; i++)
     {
       random_event (w);
       wc_run (w, (int64_t)(cfs_random (&w->seed) % 800000));
     }
   heal (w);
   wc_run (w, 12 * CFS_US_PER_S);
-  violation = w->fault ? w->fault : check_after_heal (w);
+  violation = w->violation ? w->violation : check_after_heal (w);
   if (violation && getenv ("TRACE"))
     for (unsigned i = 0; i < WC_VOTERS; i++)
       {
--- a/tests/unit/gate_random.c
+++ b/tests/unit/gate_random.c
@@ -128,7 +128,7 @@
   for (unsigned i = 0; i < WG_HOSTS; i++)
     w->hosts[i].drift_ppm = (int)(cfs_random (&w->seed) % DRIFT_MAX_PPM);
   w->inst[2].lag_us = seed % 4 ? 50000 : 2 * CFS_US_PER_S;
-  for (int e = 0; e < EVENT_COUNT && !*w->fault; e++)
+  for (int e = 0; e < EVENT_COUNT && !*w->violation; e++)
     {
       random_event (w);
       for (int k = 0; k < 12; k++)
--- a/tests/unit/limit_random.c
+++ b/tests/unit/limit_random.c
@@ -46,10 +46,11 @@
                    2 * CFS_US_PER_S);
       wl_run (w, (int64_t)(cfs_random (&w->seed) % 200000));
     }
-  ok = w->over == 0 && w->admitted > 0;
+  ok = w->admitted_over_bound == 0 && w->admitted > 0;
   if (!ok)
     printf ("seed %llu: %llu of %llu admitted operations exceed the limit\n",
-            (unsigned long long)seed, (unsigned long long)w->over,
+            (unsigned long long)seed,
+            (unsigned long long)w->admitted_over_bound,
             (unsigned long long)w->admitted);
   wl_end (w);
   free (w);
--- a/tests/unit/scenarios.c
+++ b/tests/unit/scenarios.c
@@ -183,8 +183,8 @@
   for (unsigned i = 0; i < WC_AGENTS; i++)
     if (wc_holds_lease (w, i, "gate/orders"))
       fprintf (s->out, ", h%u holds the gate", i + 1);
-  if (w->fault)
-    fprintf (s->out, ", fault: %s", w->fault);
+  if (w->violation)
+    fprintf (s->out, ", fault: %s", w->violation);
   fputc ('\n', s->out);
 }
 
--- a/tests/world/control.c
+++ b/tests/world/control.c
@@ -9,20 +9,20 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define GENESIS_ID 1000
+#define FIRST_VOTER_ID 1000
 
 static void
-fault (struct world_control *w, const char *text)
+record_violation (struct world_control *w, const char *text)
 {
-  if (w->fault)
+  if (w->violation)
     return;
-  snprintf (w->fault_text, sizeof w->fault_text, "%s at %lld us", text,
+  snprintf (w->violation_text, sizeof w->violation_text, "%s at %lld us", text,
             (long long)w->now);
-  w->fault = w->fault_text;
+  w->violation = w->violation_text;
 }
 
 static int64_t
-local (const struct world_control *w, int drift_ppm)
+local_clock (const struct world_control *w, int drift_ppm)
 {
   return w->now + w->now * drift_ppm / 1000000;
 }
@@ -30,11 +30,11 @@
 static int64_t
 host_now (const struct wc_host *h)
 {
-  return local (h->world, h->drift_ppm);
+  return local_clock (h->world, h->drift_ppm);
 }
 
 static void
-post (struct world_control *w, int from, int to, const Cfs__Peer *p)
+send_message (struct world_control *w, int from, int to, const Cfs__Peer *p)
 {
   int copies = 1;
 
@@ -138,7 +138,7 @@
 
   p.body_case = CFS__PEER__BODY_RAFT;
   p.raft = (Cfs__RaftMsg *)msg;
-  post (h->world, (int)h->index, host[1] - '1', &p);
+  send_message (h->world, (int)h->index, host[1] - '1', &p);
 }
 
 /* Checks that every host accepts the same version the same way. */
@@ -152,9 +152,9 @@
     return;
   v = &h->state.versions[h->state.version_count - 1];
   if (v->number > w->accepted_count)
-    w->accepted[w->accepted_count++] = cfs_strdup (v->request_id);
-  else if (strcmp (w->accepted[v->number - 1], v->request_id) != 0)
-    fault (w, "an accepted version changed");
+    w->accepted_requests[w->accepted_count++] = cfs_strdup (v->request_id);
+  else if (strcmp (w->accepted_requests[v->number - 1], v->request_id) != 0)
+    record_violation (w, "an accepted version changed");
 }
 
 static void
@@ -176,7 +176,7 @@
 }
 
 static size_t
-image (void *ctx, uint8_t **data)
+serialize (void *ctx, uint8_t **data)
 {
   return cfs_state_serialize (&((struct wc_host *)ctx)->state, data);
 }
@@ -194,16 +194,16 @@
 
 static const struct cfs_raft_ops raft_ops
     = { save_vote, append, truncate_log, save_snapshot,
-        send_raft, apply,  restore,      image };
+        send_raft, apply,  restore,      serialize };
 static const struct cfs_leader_ops leader_ops = { propose };
 
 static void
-genesis (struct cfs_raft_membership *m)
+set_initial_membership (struct cfs_raft_membership *m)
 {
   m->count = WC_VOTERS;
   for (unsigned i = 0; i < WC_VOTERS; i++)
     {
-      m->at[i].id = GENESIS_ID + i;
+      m->at[i].id = FIRST_VOTER_ID + i;
       m->at[i].voter = true;
       snprintf (m->at[i].host, CFS_NAME_MAX, "c%u", i + 1);
     }
@@ -213,23 +213,23 @@
 wc_start (struct world_control *w, unsigned i)
 {
   struct wc_host *h = &w->hosts[i];
-  struct cfs_raft_initial_state boot = { .id = h->disk.id,
-                                         .term = h->disk.term,
-                                         .vote = h->disk.vote,
-                                         .count = h->disk.count,
-                                         .seed = cfs_random (&w->seed) };
+  struct cfs_raft_initial_state initial = { .id = h->disk.id,
+                                            .term = h->disk.term,
+                                            .vote = h->disk.vote,
+                                            .count = h->disk.count,
+                                            .seed = cfs_random (&w->seed) };
   char name[8];
 
   snprintf (name, sizeof name, "c%u", i + 1);
-  copy_snapshot (&boot.snapshot, &h->disk.snapshot);
-  if (boot.snapshot.members.count == 0)
-    genesis (&boot.snapshot.members);
-  boot.entries = cfs_alloc (h->disk.count * sizeof *boot.entries);
+  copy_snapshot (&initial.snapshot, &h->disk.snapshot);
+  if (initial.snapshot.members.count == 0)
+    set_initial_membership (&initial.snapshot.members);
+  initial.entries = cfs_alloc (h->disk.count * sizeof *initial.entries);
   for (size_t k = 0; k < h->disk.count; k++)
-    copy_entry (&boot.entries[k], &h->disk.entries[k]);
+    copy_entry (&initial.entries[k], &h->disk.entries[k]);
   cfs_state_init (&h->state);
   h->leader = cfs_leader_new (&leader_ops, h, &h->state);
-  h->raft = cfs_raft_new (&raft_ops, h, &boot, name, host_now (h));
+  h->raft = cfs_raft_new (&raft_ops, h, &initial, name, host_now (h));
   h->alive = true;
   h->frozen = false;
 }
@@ -291,8 +291,8 @@
     {
       w->hosts[i].world = w;
       w->hosts[i].index = i;
-      w->hosts[i].disk.id = GENESIS_ID + i;
-      genesis (&w->hosts[i].disk.snapshot.members);
+      w->hosts[i].disk.id = FIRST_VOTER_ID + i;
+      set_initial_membership (&w->hosts[i].disk.snapshot.members);
       wc_start (w, i);
     }
   for (unsigned i = 0; i < WC_AGENTS; i++)
@@ -314,7 +314,7 @@
   for (size_t i = 0; i < w->message_count; i++)
     free (w->messages[i].data);
   for (uint64_t i = 0; i < w->accepted_count; i++)
-    free (w->accepted[i]);
+    free (w->accepted_requests[i]);
   free (w);
 }
 
@@ -327,8 +327,8 @@
   Cfs__Instance *list[1] = { &in };
   char name[8];
 
-  if (!a->answered)
-    a->control = (a->control + 1) % WC_VOTERS;
+  if (!a->reply_received)
+    a->control_host = (a->control_host + 1) % WC_VOTERS;
   snprintf (name, sizeof name, "h%u", a->index + 1);
   h.host = name;
   h.zone = "a";
@@ -345,38 +345,38 @@
   in.term = 1;
   h.instances = list;
   h.n_instances = 1;
-  a->sent_at = local (w, a->drift_ppm);
-  a->next_at = a->sent_at + HEARTBEAT_US;
-  a->answered = false;
+  a->sent_at = local_clock (w, a->drift_ppm);
+  a->next_heartbeat_at = a->sent_at + HEARTBEAT_US;
+  a->reply_received = false;
   p.body_case = CFS__PEER__BODY_HEARTBEAT;
   p.heartbeat = &h;
   if (!a->cut)
-    post (w, WC_VOTERS + (int)a->index, (int)a->control, &p);
+    send_message (w, WC_VOTERS + (int)a->index, (int)a->control_host, &p);
 }
 
 static void
-take_heartbeat (struct wc_host *h, int from, const Cfs__Heartbeat *in)
+handle_heartbeat (struct wc_host *h, int from, const Cfs__Heartbeat *in)
 {
   const Cfs__HeartbeatReply *reply = NULL;
-  Cfs__HeartbeatReply denied = CFS__HEARTBEAT_REPLY__INIT;
+  Cfs__HeartbeatReply not_leader = CFS__HEARTBEAT_REPLY__INIT;
   Cfs__Peer out = CFS__PEER__INIT;
   int64_t now = host_now (h);
 
   if (cfs_raft_leader_confirmed (h->raft, now))
     reply = cfs_leader_heartbeat (h->leader, in, now);
-  denied.leader = "none";
+  not_leader.leader = "none";
   out.body_case = CFS__PEER__BODY_REPLY;
-  out.reply = reply ? (Cfs__HeartbeatReply *)reply : &denied;
-  post (h->world, (int)h->index, from, &out);
+  out.reply = reply ? (Cfs__HeartbeatReply *)reply : &not_leader;
+  send_message (h->world, (int)h->index, from, &out);
 }
 
 static void
-take_reply (struct world_control *w, struct wc_agent *a,
-            const Cfs__HeartbeatReply *r)
+handle_reply (struct world_control *w, struct wc_agent *a,
+              const Cfs__HeartbeatReply *r)
 {
   if (*r->leader || r->seq != a->seq)
     return;
-  a->answered = true;
+  a->reply_received = true;
   if (r->version < a->version)
     return;
   a->version = r->version;
@@ -399,11 +399,11 @@
 
   snprintf (name, sizeof name, "h%u", i + 1);
   return a->alive && l && l->boot == a->boot && strcmp (l->holder, name) == 0
-         && local (w, a->drift_ppm) < a->lease_until;
+         && local_clock (w, a->drift_ppm) < a->lease_until;
 }
 
 static void
-check_world (struct world_control *w)
+check_invariants (struct world_control *w)
 {
   int ready = 0;
   int holders = 0;
@@ -417,9 +417,9 @@
   for (unsigned i = 0; i < WC_AGENTS; i++)
     holders += wc_holds_lease (w, i, "gate/orders");
   if (ready > 1)
-    fault (w, "two leaders are ready");
+    record_violation (w, "two leaders are ready");
   if (holders > 1)
-    fault (w, "two hosts act on gate/orders");
+    record_violation (w, "two hosts act on gate/orders");
 }
 
 static void
@@ -435,14 +435,14 @@
       if (h->alive && !cut && p->body_case == CFS__PEER__BODY_RAFT)
         cfs_raft_receive (h->raft, p->raft, host_now (h));
       else if (h->alive && p->body_case == CFS__PEER__BODY_HEARTBEAT)
-        take_heartbeat (h, m->from, p->heartbeat);
+        handle_heartbeat (h, m->from, p->heartbeat);
     }
   else
     {
       struct wc_agent *a = &w->agents[m->to - WC_VOTERS];
 
       if (a->alive && !a->cut)
-        take_reply (w, a, p->reply);
+        handle_reply (w, a, p->reply);
     }
   cfs__peer__free_unpacked (p, NULL);
 }
@@ -494,10 +494,11 @@
     {
       struct wc_agent *a = &w->agents[i];
 
-      if (a->alive && !a->frozen && local (w, a->drift_ppm) >= a->next_at)
+      if (a->alive && !a->frozen
+          && local_clock (w, a->drift_ppm) >= a->next_heartbeat_at)
         send_heartbeat (w, a);
     }
-  check_world (w);
+  check_invariants (w);
 }
 
 void
--- a/tests/world/control.h
+++ b/tests/world/control.h
@@ -41,12 +41,12 @@
 /** struct wc_agent - one member host: heartbeats, lease, directory */
 struct wc_agent
 {
-  unsigned index, control;
+  unsigned index, control_host;
   bool alive, frozen, cut, draining;
   int drift_ppm;
   uint64_t boot, seq, version, directory;
-  int64_t sent_at, next_at, lease_until;
-  bool answered;
+  int64_t sent_at, next_heartbeat_at, lease_until;
+  bool reply_received;
   struct cfs_table leases;
 };
 
@@ -71,10 +71,10 @@
   size_t message_count;
   int loss_percent, duplicate_percent;
   int64_t delay_us, jitter_us;
-  char *accepted[4096];
+  char *accepted_requests[4096];
   uint64_t accepted_count;
-  const char *fault;
-  char fault_text[160];
+  const char *violation;
+  char violation_text[160];
   uint64_t next_request;
 };
 
--- a/tests/world/failover.c
+++ b/tests/world/failover.c
@@ -13,9 +13,9 @@
 #define SERVICE "db"
 #define STEP_US (10 * CFS_US_PER_MS)
 #define PROMOTE_US (300 * CFS_US_PER_MS)
-#define FAULTS_US (25 * CFS_US_PER_S)
-#define CALM_US (14 * CFS_US_PER_S)
-#define ORDERS_MAX 64
+#define FAULT_PHASE_US (25 * CFS_US_PER_S)
+#define RECOVERY_US (14 * CFS_US_PER_S)
+#define PROMOTIONS_MAX 64
 #define PROPOSALS_MAX 64
 
 struct instance
@@ -25,7 +25,7 @@
   bool primary;
   bool cut;
   bool suspect;
-  bool deaf;
+  bool replication_cut;
   bool paused;
   unsigned boot;
   uint64_t term;
@@ -33,10 +33,10 @@
 };
 
 /* A connection of the leader to an instance. */
-struct fake_wire
+struct fake_conn
 {
   struct cfs_target_conn base;
-  struct fake_wire *next;
+  struct fake_conn *next;
   struct instance *at;
   unsigned boot;
   const struct cfs_target_conn_events *events;
@@ -44,20 +44,20 @@
   bool dead;
   bool open;
   int64_t due;
-  bool asked;
-  struct cfs_statement question;
+  bool statement_pending;
+  struct cfs_statement statement;
   struct cfs_reply reply;
   char row[96];
   enum cfs_tx_state state;
 };
 
-struct order
+struct promotion
 {
   bool pending;
   unsigned target;
   uint64_t fence;
   int64_t at;
-  bool answered;
+  bool result_reported;
 };
 
 struct proposal
@@ -76,21 +76,21 @@
   uint64_t seed;
   bool faults;
   struct cfs_state state;
-  struct cfs_target_adapter edge;
+  struct cfs_target_adapter adapter;
   struct cfs_failover_manager *failover;
-  struct fake_wire *wires;
+  struct fake_conn *conns;
   struct instance instances[INSTANCES];
-  struct order orders[ORDERS_MAX];
+  struct promotion promotions[PROMOTIONS_MAX];
   struct proposal proposals[PROPOSALS_MAX];
   uint64_t index;
   uint64_t committed;
-  uint64_t acked;
+  uint64_t acked_position;
   uint64_t fence;
   uint64_t term;
   int promoting;
   int64_t promote_at;
-  unsigned changes;
-  const char *fault;
+  unsigned failover_count;
+  const char *violation;
 };
 
 static struct world *world;
@@ -102,7 +102,7 @@
 }
 
 static uint64_t
-draw (uint64_t bound)
+random_below (uint64_t bound)
 {
   return cfs_random (&world->seed) % bound;
 }
@@ -117,33 +117,33 @@
 }
 
 static void
-run_question (struct fake_wire *k)
+run_statement (struct fake_conn *conn)
 {
-  struct instance *in = k->at;
-  struct cfs_reply *r = &k->reply;
+  struct instance *in = conn->at;
+  struct cfs_reply *r = &conn->reply;
 
   memset (r, 0, sizeof *r);
-  r->rows = k->row;
-  if (k->question.verb == VERB_BEGIN)
+  r->rows = conn->row;
+  if (conn->statement.verb == VERB_BEGIN)
     {
       r->code = in->primary ? REPLY_OK : REPLY_NOT_PRIMARY;
-      k->state = in->primary ? TX_OPEN : TX_IDLE;
+      conn->state = in->primary ? TX_OPEN : TX_IDLE;
     }
-  else if (k->question.verb == VERB_ROLLBACK)
-    k->state = TX_IDLE;
-  else if (k->question.verb == VERB_PAUSE)
+  else if (conn->statement.verb == VERB_ROLLBACK)
+    conn->state = TX_IDLE;
+  else if (conn->statement.verb == VERB_PAUSE)
     {
-      if (k->question.term <= in->term)
+      if (conn->statement.term <= in->term)
         r->code = REPLY_MALFORMED;
       else
         in->paused = !in->primary;
     }
-  else if (k->question.verb == VERB_DEMOTE)
-    in->primary = in->primary && k->question.term <= in->term;
-  else if (k->question.verb == VERB_RESUME)
+  else if (conn->statement.verb == VERB_DEMOTE)
+    in->primary = in->primary && conn->statement.term <= in->term;
+  else if (conn->statement.verb == VERB_RESUME)
     in->paused = false;
-  cfs_copy (k->row, sizeof k->row, in->primary ? "primary" : "replica");
-  r->state = k->state;
+  cfs_copy (conn->row, sizeof conn->row, in->primary ? "primary" : "replica");
+  r->state = conn->state;
   r->position.term = in->term;
   r->position.number = in->received;
   r->row_count = 1;
@@ -162,94 +162,95 @@
 }
 
 static void
-wire_send (struct cfs_target_conn *base, const struct cfs_statement *s,
+conn_send (struct cfs_target_conn *base, const struct cfs_statement *s,
            size_t count)
 {
-  struct fake_wire *k = (struct fake_wire *)base;
+  struct fake_conn *conn = (struct fake_conn *)base;
 
   if (count != 1)
-    world->fault = "more than one question at a time";
-  k->question = *s;
-  k->asked = true;
-  k->due = world->now + (int64_t)draw (60) * CFS_US_PER_MS;
+    world->violation = "more than one question at a time";
+  conn->statement = *s;
+  conn->statement_pending = true;
+  conn->due = world->now + (int64_t)random_below (60) * CFS_US_PER_MS;
 }
 
 /* What was sent before the end still arrives. */
 static void
-wire_close (struct cfs_target_conn *base)
+conn_close (struct cfs_target_conn *base)
 {
-  struct fake_wire *k = (struct fake_wire *)base;
+  struct fake_conn *conn = (struct fake_conn *)base;
 
-  if (k->asked && k->at->alive && !k->at->cut && k->boot == k->at->boot)
-    run_question (k);
-  k->dead = true;
+  if (conn->statement_pending && conn->at->alive && !conn->at->cut
+      && conn->boot == conn->at->boot)
+    run_statement (conn);
+  conn->dead = true;
 }
 
-static const struct cfs_target_conn_ops wire_ops = { wire_send, wire_close };
+static const struct cfs_target_conn_ops conn_ops = { conn_send, conn_close };
 
 static struct cfs_target_conn *
-wire_open (const struct cfs_target_adapter *edge,
+conn_open (const struct cfs_target_adapter *adapter,
            const struct cfs_target_conn_setup *setup)
 {
-  struct fake_wire *k = cfs_alloc (sizeof *k);
+  struct fake_conn *conn = cfs_alloc (sizeof *conn);
 
-  (void)edge;
-  k->base.ops = &wire_ops;
+  (void)adapter;
+  conn->base.ops = &conn_ops;
   for (int i = 0; i < INSTANCES; i++)
     if (strcmp (world->instances[i].name, setup->target) == 0)
-      k->at = &world->instances[i];
-  k->boot = k->at->boot;
-  k->events = setup->events;
-  k->owner = setup->owner;
-  k->due = world->now + 20 * CFS_US_PER_MS;
-  k->next = world->wires;
-  world->wires = k;
-  return &k->base;
+      conn->at = &world->instances[i];
+  conn->boot = conn->at->boot;
+  conn->events = setup->events;
+  conn->owner = setup->owner;
+  conn->due = world->now + 20 * CFS_US_PER_MS;
+  conn->next = world->conns;
+  world->conns = conn;
+  return &conn->base;
 }
 
 static void
-step_wire (struct fake_wire *k)
+step_conn (struct fake_conn *conn)
 {
-  if (k->dead || k->at->cut || world->now < k->due)
+  if (conn->dead || conn->at->cut || world->now < conn->due)
     return;
-  if (!k->at->alive || k->boot != k->at->boot)
+  if (!conn->at->alive || conn->boot != conn->at->boot)
     {
-      k->dead = true;
-      k->events->lost (k->owner, "scripted");
+      conn->dead = true;
+      conn->events->lost (conn->owner, "scripted");
     }
-  else if (!k->open)
+  else if (!conn->open)
     {
       struct cfs_reply hello = { .code = REPLY_OK };
 
-      hello.position.term = k->at->term;
-      hello.position.number = k->at->received;
-      k->open = true;
-      k->events->opened (k->owner, &hello);
+      hello.position.term = conn->at->term;
+      hello.position.number = conn->at->received;
+      conn->open = true;
+      conn->events->opened (conn->owner, &hello);
     }
-  else if (k->asked)
+  else if (conn->statement_pending)
     {
-      k->asked = false;
-      run_question (k);
-      k->events->replied (k->owner, &k->reply);
+      conn->statement_pending = false;
+      run_statement (conn);
+      conn->events->replied (conn->owner, &conn->reply);
     }
 }
 
 static void
-sweep_wires (void)
+free_dead_conns (void)
 {
-  struct fake_wire **at = &world->wires;
+  struct fake_conn **at = &world->conns;
 
   while (*at)
     {
-      struct fake_wire *k = *at;
+      struct fake_conn *conn = *at;
 
-      if (!k->dead)
+      if (!conn->dead)
         {
-          at = &k->next;
+          at = &conn->next;
           continue;
         }
-      *at = k->next;
-      free (k);
+      *at = conn->next;
+      free (conn);
     }
 }
 
@@ -270,34 +271,35 @@
       p->turn.service = p->service;
       p->turn.target = p->target;
       p->index = ++world->index;
-      p->at = world->now + (int64_t)draw (80) * CFS_US_PER_MS;
+      p->at = world->now + (int64_t)random_below (80) * CFS_US_PER_MS;
       return p->index;
     }
   return 0;
 }
 
 static void
-order (void *ctx, const char *service, const char *target, uint64_t fence)
+request_promotion (void *ctx, const char *service, const char *target,
+                   uint64_t fence)
 {
   (void)ctx;
   if (strcmp (service, SERVICE) != 0)
-    world->fault = "an order for another service";
-  for (int i = 0; i < ORDERS_MAX; i++)
+    world->violation = "an order for another service";
+  for (int i = 0; i < PROMOTIONS_MAX; i++)
     {
-      struct order *o = &world->orders[i];
+      struct promotion *p = &world->promotions[i];
 
-      if (o->pending)
+      if (p->pending)
         continue;
-      memset (o, 0, sizeof *o);
-      o->pending = true;
-      o->target = (unsigned)(target[1] - '1');
-      o->fence = fence;
-      o->at = world->now + (int64_t)draw (80) * CFS_US_PER_MS;
-      if (world->faults && draw (3) == 0)
+      memset (p, 0, sizeof *p);
+      p->pending = true;
+      p->target = (unsigned)(target[1] - '1');
+      p->fence = fence;
+      p->at = world->now + (int64_t)random_below (80) * CFS_US_PER_MS;
+      if (world->faults && random_below (3) == 0)
         {
-          o->answered = true;
-          o->at = world->now + 2 * CFS_US_PER_S
-                  + (int64_t)draw (8000) * CFS_US_PER_MS;
+          p->result_reported = true;
+          p->at = world->now + 2 * CFS_US_PER_S
+                  + (int64_t)random_below (8000) * CFS_US_PER_MS;
           cfs_failover_promotion_result (world->failover, service, fence,
                                          PROMOTION_UNKNOWN);
         }
@@ -315,54 +317,57 @@
   return !in->alive || in->cut || in->suspect ? 3 : 0;
 }
 
-static const struct cfs_failover_ops ops = { propose, order, suspected };
+static const struct cfs_failover_ops ops
+    = { propose, request_promotion, suspected };
 
 static void
-take_lead (int i)
+become_primary (int i)
 {
   struct instance *in = &world->instances[i];
   int old = primary_index ();
 
   if (!in->alive)
     return;
-  if (in->received < world->acked)
-    world->fault = "an acknowledged commit is missing at the new primary";
+  if (in->received < world->acked_position)
+    world->violation = "an acknowledged commit is missing at the new primary";
   if (old >= 0)
     world->instances[old].primary = false;
   in->primary = true;
   in->paused = false;
   in->term = ++world->term;
-  world->changes++;
+  world->failover_count++;
   for (int k = 0; k < INSTANCES; k++)
     {
       if (world->instances[k].received > in->received)
         world->instances[k].received = in->received;
       world->instances[k].paused = false;
     }
-  world->acked = in->received < world->acked ? in->received : world->acked;
+  world->acked_position = in->received < world->acked_position
+                              ? in->received
+                              : world->acked_position;
 }
 
 static void
-step_order (struct order *o)
+step_promotion (struct promotion *p)
 {
   enum cfs_promotion_result result = PROMOTION_ACCEPTED;
 
-  if (!o->pending || world->now < o->at)
+  if (!p->pending || world->now < p->at)
     return;
-  o->pending = false;
-  if (o->fence < world->fence || !world->instances[o->target].alive)
+  p->pending = false;
+  if (p->fence < world->fence || !world->instances[p->target].alive)
     result = PROMOTION_REJECTED;
   else
     {
-      world->fence = o->fence;
-      if (primary_index () != (int)o->target)
+      world->fence = p->fence;
+      if (primary_index () != (int)p->target)
         {
-          world->promoting = (int)o->target;
+          world->promoting = (int)p->target;
           world->promote_at = world->now + PROMOTE_US;
         }
     }
-  if (!o->answered)
-    cfs_failover_promotion_result (world->failover, SERVICE, o->fence, result);
+  if (!p->result_reported)
+    cfs_failover_promotion_result (world->failover, SERVICE, p->fence, result);
 }
 
 static void
@@ -378,7 +383,7 @@
 /* The primary writes, replicas receive, one replica is enough for an
    acknowledgement. */
 static void
-step_log (void)
+replicate (void)
 {
   int p = primary_index ();
 
@@ -389,21 +394,21 @@
     {
       struct instance *in = &world->instances[i];
 
-      if (i == p || !in->alive || in->paused || in->deaf
-          || world->instances[p].deaf || draw (3) == 0)
+      if (i == p || !in->alive || in->paused || in->replication_cut
+          || world->instances[p].replication_cut || random_below (3) == 0)
         continue;
       in->received = world->instances[p].received;
       in->term = world->instances[p].term;
-      if (in->received > world->acked)
-        world->acked = in->received;
+      if (in->received > world->acked_position)
+        world->acked_position = in->received;
     }
 }
 
 static void
 start_leader (void)
 {
-  world->failover = cfs_failover_new (&ops, NULL, &world->edge, &world->state,
-                                      world_clock);
+  world->failover = cfs_failover_new (&ops, NULL, &world->adapter,
+                                      &world->state, world_clock);
 }
 
 static void
@@ -424,11 +429,11 @@
 }
 
 static void
-draw_fault (void)
+inject_random_fault (void)
 {
-  struct instance *in = &world->instances[draw (INSTANCES)];
+  struct instance *in = &world->instances[random_below (INSTANCES)];
 
-  switch (draw (500))
+  switch (random_below (500))
     {
     case 0:
     case 1:
@@ -449,7 +454,7 @@
       in->cut = !in->cut;
       break;
     case 7:
-      in->deaf = !in->deaf;
+      in->replication_cut = !in->replication_cut;
       break;
     case 8:
       change_leader ();
@@ -467,7 +472,7 @@
     {
       world->instances[i].alive = true;
       world->instances[i].cut = false;
-      world->instances[i].deaf = false;
+      world->instances[i].replication_cut = false;
     }
 }
 
@@ -478,21 +483,21 @@
   for (int i = 0; i < PROPOSALS_MAX; i++)
     for (int k = 0; k < PROPOSALS_MAX; k++)
       step_proposal (&world->proposals[k]);
-  for (int i = 0; i < ORDERS_MAX; i++)
-    step_order (&world->orders[i]);
+  for (int i = 0; i < PROMOTIONS_MAX; i++)
+    step_promotion (&world->promotions[i]);
   if (world->promoting >= 0 && world->now >= world->promote_at)
     {
-      take_lead (world->promoting);
+      become_primary (world->promoting);
       world->promoting = -1;
     }
-  step_log ();
-  for (struct fake_wire *k = world->wires; k; k = k->next)
-    step_wire (k);
-  sweep_wires ();
+  replicate ();
+  for (struct fake_conn *conn = world->conns; conn; conn = conn->next)
+    step_conn (conn);
+  free_dead_conns ();
   cfs_failover_tick (world->failover, true, world->committed, world->now);
-  sweep_wires ();
+  free_dead_conns ();
   if (world->faults)
-    draw_fault ();
+    inject_random_fault ();
 }
 
 static void
@@ -527,8 +532,8 @@
   world->now = CFS_US_PER_S;
   world->term = 1;
   world->promoting = -1;
-  world->edge.open = wire_open;
-  world->edge.read_status = read_status;
+  world->adapter.open = conn_open;
+  world->adapter.read_status = read_status;
   cfs_state_init (&world->state);
   for (int i = 0; i < INSTANCES; i++)
     add_instance (i);
@@ -539,9 +544,9 @@
 wf_end (void)
 {
   cfs_failover_free (world->failover);
-  for (struct fake_wire *k = world->wires; k; k = k->next)
-    k->dead = true;
-  sweep_wires ();
+  for (struct fake_conn *conn = world->conns; conn; conn = conn->next)
+    conn->dead = true;
+  free_dead_conns ();
   cfs_state_end (&world->state);
   free (world);
 }
@@ -551,27 +556,27 @@
 {
   int64_t until = world->now + us;
 
-  while (world->now < until && !world->fault)
+  while (world->now < until && !world->violation)
     step ();
 }
 
 bool
 wf_run_seed (uint64_t seed)
 {
-  const char *fault;
+  const char *violation;
   uint64_t before;
 
   wf_start (seed);
   world->faults = true;
-  wf_run (FAULTS_US);
+  wf_run (FAULT_PHASE_US);
   heal ();
-  wf_run (CALM_US);
-  before = world->acked;
+  wf_run (RECOVERY_US);
+  before = world->acked_position;
   wf_run (2 * CFS_US_PER_S);
-  fault = world->fault;
-  if (!fault && world->acked <= before)
-    fault = "nothing is acknowledged once all is calm";
-  if (fault && getenv ("TRACE"))
+  violation = world->violation;
+  if (!violation && world->acked_position <= before)
+    violation = "nothing is acknowledged once all is calm";
+  if (violation && getenv ("TRACE"))
     for (int i = 0; i < INSTANCES; i++)
       printf ("%s alive %d primary %d paused %d term %llu received %llu, "
               "acked %llu at %lld ms\n",
@@ -579,12 +584,12 @@
               world->instances[i].primary, world->instances[i].paused,
               (unsigned long long)world->instances[i].term,
               (unsigned long long)world->instances[i].received,
-              (unsigned long long)world->acked,
+              (unsigned long long)world->acked_position,
               (long long)(world->now / CFS_US_PER_MS));
-  if (fault)
-    printf ("seed %llu: %s\n", (unsigned long long)seed, fault);
+  if (violation)
+    printf ("seed %llu: %s\n", (unsigned long long)seed, violation);
   wf_end ();
-  return !fault;
+  return !violation;
 }
 
 void
@@ -614,13 +619,13 @@
 unsigned
 wf_failover_count (void)
 {
-  return world->changes;
+  return world->failover_count;
 }
 
 const char *
 wf_violation (void)
 {
-  return world->fault;
+  return world->violation;
 }
 
 struct cfs_state *
--- a/tests/world/gate.c
+++ b/tests/world/gate.c
@@ -18,12 +18,12 @@
   EV_PROBE,
   EV_PROBED,
   EV_PROMOTE,
-  EV_REPORT,
-  EV_REPLY
+  EV_HEARTBEAT,
+  EV_HEARTBEAT_REPLY
 };
 
 static void
-say (struct world_gate *w, const char *format, ...)
+trace_line (struct world_gate *w, const char *format, ...)
 {
   va_list args;
 
@@ -37,11 +37,11 @@
 }
 
 static void
-fault (struct world_gate *w, const char *text, const char *name)
+record_violation (struct world_gate *w, const char *text, const char *name)
 {
-  if (!*w->fault)
-    snprintf (w->fault, sizeof w->fault, "%s (%s) at %lld us", text, name,
-              (long long)w->now);
+  if (!*w->violation)
+    snprintf (w->violation, sizeof w->violation, "%s (%s) at %lld us", text,
+              name, (long long)w->now);
 }
 
 static struct wg_event *
@@ -95,15 +95,15 @@
 
   h->generation[conn]++;
   for (unsigned i = 0; i < WG_INSTANCES; i++)
-    memset (&h->world->inst[i].sessions[h->index][conn], 0,
+    memset (&h->world->inst[i].conns[h->index][conn], 0,
             sizeof (struct wg_instance_conn));
 }
 
 static unsigned
-inst_of (const struct wg_host *h, unsigned conn)
+connected_instance (const struct wg_host *h, unsigned conn)
 {
   for (unsigned i = 0; i < WG_INSTANCES; i++)
-    if (h->world->inst[i].sessions[h->index][conn].open)
+    if (h->world->inst[i].conns[h->index][conn].open)
       return i;
   return WG_INSTANCES;
 }
@@ -112,7 +112,7 @@
 do_run (void *ctx, unsigned conn, enum cfs_work work, struct cfs_request *r)
 {
   struct wg_host *h = ctx;
-  unsigned inst = inst_of (h, conn);
+  unsigned inst = connected_instance (h, conn);
   struct wg_event *e;
 
   ((struct wg_request *)r->payload)->sent++;
@@ -130,13 +130,14 @@
 }
 
 static struct wg_client_session *
-session_of (struct world_gate *w, const char *name)
+find_or_add_session (struct world_gate *w, const char *name)
 {
-  for (int i = 0; i < w->seen_count; i++)
-    if (strcmp (w->seen[i].name, name) == 0)
-      return &w->seen[i];
-  cfs_copy (w->seen[w->seen_count].name, sizeof w->seen[0].name, name);
-  return &w->seen[w->seen_count++];
+  for (int i = 0; i < w->client_session_count; i++)
+    if (strcmp (w->client_sessions[i].name, name) == 0)
+      return &w->client_sessions[i];
+  cfs_copy (w->client_sessions[w->client_session_count].name,
+            sizeof w->client_sessions[0].name, name);
+  return &w->client_sessions[w->client_session_count++];
 }
 
 /* A session takes over what an answer has shown it. */
@@ -147,7 +148,7 @@
 
   if (!*q->session || q->outcome != CFS_DONE || q->term == 0)
     return;
-  s = session_of (w, q->session);
+  s = find_or_add_session (w, q->session);
   if (q->term > s->term || (q->term == s->term && q->position > s->position))
     {
       s->term = q->term;
@@ -165,7 +166,7 @@
   struct wg_request *q = r->payload;
 
   if (q->answered)
-    fault (w, "answered twice", q->name);
+    record_violation (w, "answered twice", q->name);
   q->answered = true;
   q->answered_at = w->now;
   q->code = v->code;
@@ -179,17 +180,18 @@
         w->max_ack_gap_us = w->now - w->last_ack_at;
       w->last_ack_at = w->now;
     }
-  say (w, "%s %s %s%s%s", q->name, cfs_outcome_name (v->outcome),
-       cfs_code_name (v->code),
-       v->outcome != CFS_DONE || !q->read ? ""
-       : v->replica                       ? " from a replica"
-                                          : " from the primary",
-       *q->request.transaction && q->request.kind == CFS_BEGIN ? " opened"
-                                                               : "");
+  trace_line (w, "%s %s %s%s%s", q->name, cfs_outcome_name (v->outcome),
+              cfs_code_name (v->code),
+              v->outcome != CFS_DONE || !q->read ? ""
+              : v->replica                       ? " from a replica"
+                                                 : " from the primary",
+              *q->request.transaction && q->request.kind == CFS_BEGIN
+                  ? " opened"
+                  : "");
   if (v->code == CFS_CODE_WRITE_LOST && *q->session)
     {
-      session_of (w, q->session)->term = v->term;
-      session_of (w, q->session)->position = v->position;
+      find_or_add_session (w, q->session)->term = v->term;
+      find_or_add_session (w, q->session)->position = v->position;
     }
   advance_session (w, q);
 }
@@ -213,8 +215,8 @@
 
   e->term = term;
   e->result.position = (uint64_t)host_now (h);
-  say (h->world, "host %u orders instance %u to lead in term %llu", h->index,
-       inst, (unsigned long long)term);
+  trace_line (h->world, "host %u orders instance %u to lead in term %llu",
+              h->index, inst, (unsigned long long)term);
 }
 
 static void
@@ -229,7 +231,7 @@
         do_probe,   do_promote, do_discard };
 
 static void
-announce (struct wg_host *h)
+update_instances (struct wg_host *h)
 {
   for (unsigned i = 0; i < WG_INSTANCES; i++)
     {
@@ -260,7 +262,7 @@
   h->frozen = false;
   h->gate = cfs_gate_new (&ops, h, "orders", &cfs_gate_defaults,
                           cfs_random (&w->seed) | 1);
-  announce (h);
+  update_instances (h);
 }
 
 /* Requests inside a dead host never get an answer from it. */
@@ -303,7 +305,7 @@
       w->inst[i].lag_us = 50000;
       w->inst[i].slots = 5;
     }
-  w->inst[0].leads = true;
+  w->inst[0].primary = true;
   cfs_copy (w->group.name, CFS_NAME_MAX, "orders");
   cfs_copy (w->group.primary, CFS_NAME_MAX, "t0");
   w->group.term = 1;
@@ -311,7 +313,7 @@
   w->group.branches[0].term = 1;
   w->group.branch_count = 1;
   w->epoch = 1;
-  w->holder_end = LEASE_WAIT_US;
+  w->holder_lease_end = LEASE_WAIT_US;
   for (unsigned i = 0; i < WG_HOSTS; i++)
     wg_host_start (w, i);
   wg_run (w, 200000);
@@ -328,7 +330,7 @@
 
 /* The log of the history that an instance leads or follows. */
 static int
-find_key (const struct wg_instance *in, const char *key)
+find_entry_by_key (const struct wg_instance *in, const char *key)
 {
   for (uint64_t i = 0; i < in->log_count; i++)
     if (strcmp (in->log[i].key, key) == 0)
@@ -337,7 +339,7 @@
 }
 
 static void
-commit_op (struct world_gate *w, struct wg_instance *in, int request)
+commit_write (struct world_gate *w, struct wg_instance *in, int request)
 {
   struct wg_log_entry *op = &in->log[in->log_count++];
 
@@ -361,19 +363,19 @@
 
   q->executed++;
   if (e->work <= WORK_BEGIN && *s->transaction)
-    fault (w, "work entered an open transaction", q->name);
+    record_violation (w, "work entered an open transaction", q->name);
   if (e->work >= WORK_STATEMENT
       && strcmp (s->transaction, q->request.transaction) != 0)
-    fault (w, "a statement entered another transaction", q->name);
-  if (writes && !in->leads)
+    record_violation (w, "a statement entered another transaction", q->name);
+  if (writes && !in->primary)
     return WORK_STATUS_ERROR;
   if (e->work == WORK_WRITE)
-    commit_op (w, in, e->request);
+    commit_write (w, in, e->request);
   else if (e->work == WORK_KEYED_WRITE)
     {
-      if (find_key (in, q->request.key) >= 0)
+      if (find_entry_by_key (in, q->request.key) >= 0)
         return WORK_STATUS_REPLAYED;
-      commit_op (w, in, e->request);
+      commit_write (w, in, e->request);
     }
   else if (e->work == WORK_BEGIN)
     cfs_copy (s->transaction, sizeof s->transaction, q->request.transaction);
@@ -382,7 +384,7 @@
   else if (e->work == WORK_COMMIT || e->work == WORK_ROLLBACK)
     {
       for (int i = 0; i < s->pending_count && e->work == WORK_COMMIT; i++)
-        commit_op (w, in, s->pending[i]);
+        commit_write (w, in, s->pending[i]);
       s->pending_count = 0;
       s->transaction[0] = '\0';
     }
@@ -398,29 +400,30 @@
 
   if (!*q->session)
     return;
-  s = session_of (w, q->session);
+  s = find_or_add_session (w, q->session);
   for (int i = 0; i < s->write_count; i++)
     {
-      const struct wg_request *wr = &w->requests[s->writes[i]];
-      bool found = wr->request.kind == CFS_COMMIT;
+      const struct wg_request *write = &w->requests[s->writes[i]];
+      bool found = write->request.kind == CFS_COMMIT;
 
-      if (wr->answered_at > q->submitted_at)
+      if (write->answered_at > q->submitted_at)
         continue;
       for (uint64_t k = 0; k < in->visible && !found; k++)
         found = in->log[k].request == s->writes[i]
-                || (*wr->request.key
-                    && strcmp (in->log[k].key, wr->request.key) == 0);
+                || (*write->request.key
+                    && strcmp (in->log[k].key, write->request.key) == 0);
       if (!found)
-        say (w,
-             "%s misses %s of term %llu position %llu, visible %llu in "
-             "term %llu, token %llu %llu",
-             q->name, wr->name, (unsigned long long)wr->term,
-             (unsigned long long)wr->position, (unsigned long long)in->visible,
-             (unsigned long long)in->term,
-             (unsigned long long)q->request.token_term,
-             (unsigned long long)q->request.token_position);
+        trace_line (w,
+                    "%s misses %s of term %llu position %llu, visible %llu in "
+                    "term %llu, token %llu %llu",
+                    q->name, write->name, (unsigned long long)write->term,
+                    (unsigned long long)write->position,
+                    (unsigned long long)in->visible,
+                    (unsigned long long)in->term,
+                    (unsigned long long)q->request.token_term,
+                    (unsigned long long)q->request.token_position);
       if (!found)
-        fault (w, "a session does not read its own write", q->name);
+        record_violation (w, "a session does not read its own write", q->name);
     }
 }
 
@@ -428,7 +431,7 @@
 on_execute (struct world_gate *w, const struct wg_event *e)
 {
   struct wg_instance *in = &w->inst[e->inst];
-  struct wg_instance_conn *s = &in->sessions[e->host][e->conn];
+  struct wg_instance_conn *s = &in->conns[e->host][e->conn];
   struct wg_host *h = &w->hosts[e->host];
   struct wg_event *r;
   struct cfs_work_result res = { .clean = true };
@@ -476,7 +479,7 @@
 static void
 on_connect (struct world_gate *w, const struct wg_event *e)
 {
-  struct wg_instance_conn *s = &w->inst[e->inst].sessions[e->host][e->conn];
+  struct wg_instance_conn *s = &w->inst[e->inst].conns[e->host][e->conn];
   struct wg_event *r;
 
   memset (s, 0, sizeof *s);
@@ -497,8 +500,8 @@
   r->result.position = e->result.position;
   r->term = in->term;
   r->generation = in->visible;
-  r->request = (int)in->start;
-  r->result.clean = in->leads;
+  r->request = (int)in->branch_start;
+  r->result.clean = in->primary;
 }
 
 static void
@@ -509,16 +512,16 @@
   if (e->term > in->term)
     {
       in->term = e->term;
-      in->start = in->log_count;
+      in->branch_start = in->log_count;
       in->visible = in->log_count;
-      in->leads = true;
+      in->primary = true;
     }
   on_probe (w, e);
 }
 
 /* The fake control group decides on a heartbeat of a host. */
 static void
-on_report (struct world_gate *w, const struct wg_event *e)
+on_heartbeat (struct world_gate *w, const struct wg_event *e)
 {
   struct wg_host *h = &w->hosts[e->host];
   Cfs__GroupReport r;
@@ -539,7 +542,7 @@
           if (g->branch_count == STATE_BRANCHES_MAX)
             memmove (g->branches, g->branches + 1,
                      --g->branch_count * sizeof g->branches[0]);
-          say (w, "term %llu is recorded", (unsigned long long)g->term);
+          trace_line (w, "term %llu is recorded", (unsigned long long)g->term);
         }
       if (r.want_term
           && !(g->granted_term > g->term && g->granted_term > r.used_term
@@ -547,17 +550,18 @@
         {
           g->granted_term++;
           g->granted_epoch = r.epoch;
-          say (w, "term %llu is granted", (unsigned long long)g->granted_term);
+          trace_line (w, "term %llu is granted",
+                      (unsigned long long)g->granted_term);
         }
     }
   if (w->holder == e->host)
-    w->holder_end = w->now + LEASE_WAIT_US;
-  reply = add_event (w, EV_REPLY, e->host, 0, w->rtt_us + 4000);
+    w->holder_lease_end = w->now + LEASE_WAIT_US;
+  reply = add_event (w, EV_HEARTBEAT_REPLY, e->host, 0, w->rtt_us + 4000);
   reply->term = (uint64_t)e->result.position;
 }
 
 static void
-on_reply (struct world_gate *w, const struct wg_event *e)
+on_heartbeat_reply (struct world_gate *w, const struct wg_event *e)
 {
   struct wg_host *h = &w->hosts[e->host];
   bool own = w->holder == e->host;
@@ -565,7 +569,7 @@
 
   cfs_gate_assign (h->gate, own ? w->epoch : 0, now);
   cfs_gate_set_group (h->gate, &w->group, now);
-  announce (h);
+  update_instances (h);
   cfs_gate_renew (h->gate, (int64_t)e->term + LEASE_US, now);
 }
 
@@ -600,18 +604,18 @@
     case EV_PROMOTE:
       on_promote (w, e);
       break;
-    case EV_REPORT:
-      on_report (w, e);
+    case EV_HEARTBEAT:
+      on_heartbeat (w, e);
       break;
     default:
-      on_reply (w, e);
+      on_heartbeat_reply (w, e);
       break;
     }
 }
 
 /* 1: now; 0: later; -1: never. */
 static int
-may_happen (const struct world_gate *w, const struct wg_event *e)
+event_readiness (const struct world_gate *w, const struct wg_event *e)
 {
   const struct wg_instance *in = &w->inst[e->inst];
   const struct wg_host *h = &w->hosts[e->host];
@@ -622,7 +626,7 @@
 
   if (!h->alive)
     return at_inst && e->kind == EV_EXECUTE && in->alive ? 1 : -1;
-  if (e->kind == EV_REPORT || e->kind == EV_REPLY)
+  if (e->kind == EV_HEARTBEAT || e->kind == EV_HEARTBEAT_REPLY)
     return h->cut_control ? -1 : !h->frozen;
   if (at_inst && !in->alive)
     return e->kind == EV_PROBE || e->kind == EV_PROMOTE ? -1 : 0;
@@ -634,12 +638,12 @@
 }
 
 static void
-happen (struct world_gate *w)
+run_due_events (struct world_gate *w)
 {
   for (size_t i = 0; i < w->event_count;)
     {
       struct wg_event e = w->events[i];
-      int may = e.at <= w->now ? may_happen (w, &e) : 0;
+      int may = e.at <= w->now ? event_readiness (w, &e) : 0;
 
       if (may == 0)
         {
@@ -657,7 +661,7 @@
 replicate (struct world_gate *w, unsigned i)
 {
   struct wg_instance *in = &w->inst[i];
-  const struct wg_instance *up = NULL;
+  const struct wg_instance *source = NULL;
 
   if (!in->alive || in->frozen)
     return;
@@ -665,33 +669,34 @@
     {
       const struct wg_instance *o = &w->inst[k];
 
-      if (k != i && o->alive && !o->frozen && !o->isolated && o->leads
-          && (o->term > in->term || (o->term == in->term && !in->leads))
-          && (!up || o->term > up->term))
-        up = o;
+      if (k != i && o->alive && !o->frozen && !o->isolated && o->primary
+          && (o->term > in->term || (o->term == in->term && !in->primary))
+          && (!source || o->term > source->term))
+        source = o;
     }
-  if (up && up->term > in->term)
+  if (source && source->term > in->term)
     {
       uint64_t keep = 0;
 
-      while (keep < in->log_count && keep < up->log_count
-             && in->log[keep].request == up->log[keep].request
-             && in->log[keep].term == up->log[keep].term)
+      while (keep < in->log_count && keep < source->log_count
+             && in->log[keep].request == source->log[keep].request
+             && in->log[keep].term == source->log[keep].term)
         keep++;
-      in->log_count = keep < up->start ? keep : up->start;
+      in->log_count
+          = keep < source->branch_start ? keep : source->branch_start;
       if (in->visible > in->log_count)
         in->visible = in->log_count;
-      in->term = up->term;
-      in->start = up->start;
-      in->leads = false;
+      in->term = source->term;
+      in->branch_start = source->branch_start;
+      in->primary = false;
     }
-  while (up && in->log_count < up->log_count
-         && up->log[in->log_count].at + in->lag_us <= w->now)
+  while (source && in->log_count < source->log_count
+         && source->log[in->log_count].at + in->lag_us <= w->now)
     {
-      in->log[in->log_count] = up->log[in->log_count];
+      in->log[in->log_count] = source->log[in->log_count];
       in->log_count++;
     }
-  if (!in->leads)
+  if (!in->primary)
     in->visible = in->log_count;
 }
 
@@ -700,14 +705,14 @@
 {
   unsigned other = (w->holder + 1) % WG_HOSTS;
 
-  if (w->now <= w->holder_end || !w->hosts[other].alive
+  if (w->now <= w->holder_lease_end || !w->hosts[other].alive
       || w->hosts[other].frozen || w->hosts[other].cut_control)
     return;
   w->holder = other;
   w->epoch++;
-  w->holder_end = w->now + LEASE_WAIT_US;
-  say (w, "host %u holds the gate in epoch %llu", other,
-       (unsigned long long)w->epoch);
+  w->holder_lease_end = w->now + LEASE_WAIT_US;
+  trace_line (w, "host %u holds the gate in epoch %llu", other,
+              (unsigned long long)w->epoch);
 }
 
 static void
@@ -727,7 +732,7 @@
     return;
   h->next_heartbeat = now + HEARTBEAT_US;
   if (!h->cut_control)
-    add_event (w, EV_REPORT, h->index, 0, w->rtt_us)->result.position
+    add_event (w, EV_HEARTBEAT, h->index, 0, w->rtt_us)->result.position
         = (uint64_t)now;
 }
 
@@ -740,7 +745,7 @@
     serving += w->hosts[i].alive
                && cfs_gate_serving (w->hosts[i].gate, host_now (&w->hosts[i]));
   if (serving > 1)
-    fault (w, "two gates serve", "");
+    record_violation (w, "two gates serve", "");
 }
 
 void
@@ -751,7 +756,7 @@
   while (w->now < end)
     {
       w->now += WG_STEP_US;
-      happen (w);
+      run_due_events (w);
       for (unsigned i = 0; i < WG_INSTANCES; i++)
         replicate (w, i);
       for (unsigned i = 0; i < WG_HOSTS; i++)
@@ -804,8 +809,8 @@
   r->max_age_us = max_age_us;
   if (*q->session)
     {
-      r->token_term = session_of (w, session)->term;
-      r->token_position = session_of (w, session)->position;
+      r->token_term = find_or_add_session (w, session)->term;
+      r->token_position = find_or_add_session (w, session)->position;
     }
   return send_request (w, w->request_count++);
 }
@@ -829,9 +834,9 @@
   for (unsigned h = 0; h < WG_HOSTS; h++)
     for (unsigned c = 0; c < WG_CONNS; c++)
       {
-        bool open = in->sessions[h][c].open;
+        bool open = in->conns[h][c].open;
 
-        memset (&in->sessions[h][c], 0, sizeof in->sessions[h][c]);
+        memset (&in->conns[h][c], 0, sizeof in->conns[h][c]);
         if (open && w->hosts[h].alive && !w->hosts[h].frozen && !in->cut[h])
           {
             struct cfs_work_result lost = { .status = WORK_STATUS_UNKNOWN };
@@ -851,7 +856,7 @@
   if (w->inst[i].alive)
     return;
   w->inst[i].alive = true;
-  w->inst[i].leads = false;
+  w->inst[i].primary = false;
   w->inst[i].frozen = false;
 }
 
@@ -874,7 +879,7 @@
 }
 
 static int
-times_in_log (const struct world_gate *w, const struct wg_instance *in,
+count_in_log (const struct world_gate *w, const struct wg_instance *in,
               int request)
 {
   const struct wg_request *q = &w->requests[request];
@@ -890,26 +895,26 @@
 check_request (struct world_gate *w, const struct wg_instance *in, int i)
 {
   const struct wg_request *q = &w->requests[i];
-  int n = times_in_log (w, in, i);
+  int n = count_in_log (w, in, i);
   bool write = q->request.kind == CFS_WRITE;
 
   if (!q->answered)
     {
-      say (w, "%s of kind %d sent at %lld ms, run %d times, no answer",
-           q->name, (int)q->request.kind, (long long)q->submitted_at / 1000,
-           q->executed);
-      fault (w, "never answered", q->name);
+      trace_line (w, "%s of kind %d sent at %lld ms, run %d times, no answer",
+                  q->name, (int)q->request.kind,
+                  (long long)q->submitted_at / 1000, q->executed);
+      record_violation (w, "never answered", q->name);
     }
   if (q->request.send_once && q->sent > 1)
-    fault (w, "sent to a target more than once", q->name);
+    record_violation (w, "sent to a target more than once", q->name);
   if (!write)
     return;
   if (n > 1)
-    fault (w, "booked twice", q->name);
+    record_violation (w, "booked twice", q->name);
   if (q->outcome == CFS_DONE && n != 1)
-    fault (w, "an acknowledged write is missing", q->name);
+    record_violation (w, "an acknowledged write is missing", q->name);
   if (q->outcome == CFS_NOT_RUN && !*q->request.key && n != 0)
-    fault (w, "said not run, but it was", q->name);
+    record_violation (w, "said not run, but it was", q->name);
 }
 
 const char *
@@ -918,11 +923,11 @@
   const struct wg_instance *in = NULL;
 
   for (unsigned i = 0; i < WG_INSTANCES; i++)
-    if (w->inst[i].leads && (!in || w->inst[i].term > in->term))
+    if (w->inst[i].primary && (!in || w->inst[i].term > in->term))
       in = &w->inst[i];
   if (!in)
-    fault (w, "no instance leads", "");
+    record_violation (w, "no instance leads", "");
   for (int i = 0; in && i < w->request_count; i++)
     check_request (w, in, i);
-  return *w->fault ? w->fault : NULL;
+  return *w->violation ? w->violation : NULL;
 }
--- a/tests/world/gate.h
+++ b/tests/world/gate.h
@@ -40,13 +40,13 @@
 /** struct wg_instance - one fake instance */
 struct wg_instance
 {
-  bool alive, frozen, isolated, leads, leaving;
+  bool alive, frozen, isolated, primary, leaving;
   bool cut[WG_HOSTS];
-  uint64_t term, start, log_count, visible;
+  uint64_t term, branch_start, log_count, visible;
   struct wg_log_entry log[WG_LOG_MAX];
   int64_t lag_us, busy_until[16];
   unsigned slots;
-  struct wg_instance_conn sessions[WG_HOSTS][WG_CONNS];
+  struct wg_instance_conn conns[WG_HOSTS][WG_CONNS];
 };
 
 /** struct wg_request - one request as its caller knows it */
@@ -104,17 +104,17 @@
   struct wg_host hosts[WG_HOSTS];
   struct wg_request requests[WG_REQUESTS];
   int request_count;
-  struct wg_client_session seen[16];
-  int seen_count;
+  struct wg_client_session client_sessions[16];
+  int client_session_count;
   struct wg_event events[WG_EVENTS];
   size_t event_count;
   struct cfs_group group;
   unsigned holder;
   uint64_t epoch;
-  int64_t holder_end;
+  int64_t holder_lease_end;
   int64_t service_us, rtt_us, connect_us;
   FILE *trace;
-  char fault[160];
+  char violation[160];
   int64_t last_ack_at, max_ack_gap_us;
 };
 
--- a/tests/world/limit.c
+++ b/tests/world/limit.c
@@ -9,7 +9,7 @@
 #include <string.h>
 
 static bool
-ideal_take (double *level, int64_t *at, const struct world_limit *w)
+reference_bucket_take (double *level, int64_t *at, const struct world_limit *w)
 {
   *level += w->rate * (double)(w->now - *at) / CFS_US_PER_S;
   *at = w->now;
@@ -22,7 +22,7 @@
 }
 
 static void
-post (struct world_limit *w, struct wl_message m)
+send_message (struct world_limit *w, struct wl_message m)
 {
   int copies = cfs_random (&w->seed) % 100 >= (uint64_t)w->loss_percent;
 
@@ -38,33 +38,34 @@
 }
 
 /* Each host's admission has its own index as context. */
-struct context
+struct host_context
 {
   struct world_limit *world;
   unsigned host;
 };
 
 static void
-on_ask (void *ctx, const char *team, uint64_t id, uint32_t count)
+send_token_request (void *ctx, const char *team, uint64_t id, uint32_t count)
 {
-  const struct context *c = ctx;
+  const struct host_context *c = ctx;
   struct wl_message m = {
     .id = id, .count = count, .host = c->host, .epoch = c->world->epoch
   };
 
   (void)team;
-  post (c->world, m);
+  send_message (c->world, m);
 }
 
 static void
 on_admitted (void *ctx, struct cfs_request *r)
 {
-  struct world_limit *w = ((struct context *)ctx)->world;
+  struct world_limit *w = ((struct host_context *)ctx)->world;
   double wait = (double)(w->now - r->arrived_at);
 
   w->admitted++;
-  if (!ideal_take (&w->admitted_level, &w->admitted_at, w))
-    w->over++;
+  if (!reference_bucket_take (&w->admitted_bucket_level,
+                              &w->admitted_bucket_at, w))
+    w->admitted_over_bound++;
   if (wait > w->worst_wait_us)
     w->worst_wait_us = wait;
   free (r->payload);
@@ -73,23 +74,24 @@
 static void
 on_refused (void *ctx, struct cfs_request *r, enum cfs_code code)
 {
-  struct world_limit *w = ((struct context *)ctx)->world;
+  struct world_limit *w = ((struct host_context *)ctx)->world;
   struct wl_request *q = r->payload;
 
   w->refused++;
   if (code == CFS_CODE_DRAINING)
     w->lost_with_host++;
   else
-    w->wrongful += q->within;
+    w->refused_within_rate += q->within_rate;
   free (q);
 }
 
-static const struct cfs_admit_ops ops = { on_ask, on_admitted, on_refused };
+static const struct cfs_admit_ops ops
+    = { send_token_request, on_admitted, on_refused };
 
 void
 wl_start (struct world_limit *w, unsigned host)
 {
-  struct context *c;
+  struct host_context *c;
 
   if (w->alive[host])
     return;
@@ -108,12 +110,12 @@
   w->seed = seed * UINT64_C (0x9E3779B97F4A7C15) + 1;
   w->rate = rate;
   w->burst = burst;
-  w->admitted_level = burst;
-  w->asked_level = burst;
+  w->admitted_bucket_level = burst;
+  w->arrival_bucket_level = burst;
   w->delay_us = 500;
   w->jitter_us = 500;
   w->epoch = 1;
-  w->serve_until = CFS_NEVER;
+  w->limiter_lease_end = CFS_NEVER;
   cfs_bucket_init (&w->bucket, rate, burst, true, 0);
   for (unsigned i = 0; i < WL_HOSTS; i++)
     wl_start (w, i);
@@ -138,7 +140,7 @@
 {
   if (w->take_over_at)
     return;
-  w->serve_until = w->now + LEASE_US;
+  w->limiter_lease_end = w->now + LEASE_US;
   w->take_over_at = w->now + LEASE_WAIT_US;
 }
 
@@ -150,7 +152,7 @@
 }
 
 void
-wl_arrive (struct world_limit *w, unsigned host, int64_t patience_us)
+wl_arrive (struct world_limit *w, unsigned host, int64_t timeout_us)
 {
   struct wl_request *q;
 
@@ -160,9 +162,10 @@
   q->request.payload = q;
   cfs_copy (q->request.team, CFS_NAME_MAX, "weavers");
   q->request.arrived_at = w->now;
-  q->request.deadline = w->now + patience_us;
-  q->within = ideal_take (&w->asked_level, &w->asked_at, w);
-  w->within += q->within;
+  q->request.deadline = w->now + timeout_us;
+  q->within_rate = reference_bucket_take (&w->arrival_bucket_level,
+                                          &w->arrival_bucket_at, w);
+  w->arrived_within_rate += q->within_rate;
   w->arrived++;
   cfs_admit_submit (&w->admit[host], &q->request, w->rate, w->burst, w->now);
 }
@@ -179,11 +182,12 @@
                            m->retry_us, w->now);
       return;
     }
-  if (!w->alive[w->limiter] || m->epoch != w->epoch || w->now > w->serve_until)
+  if (!w->alive[w->limiter] || m->epoch != w->epoch
+      || w->now > w->limiter_lease_end)
     return;
   out.grant = true;
   out.count = cfs_bucket_take (&w->bucket, m->count, w->now, &out.retry_us);
-  post (w, out);
+  send_message (w, out);
 }
 
 static void
@@ -192,7 +196,7 @@
   if (!w->take_over_at || w->now < w->take_over_at)
     return;
   w->take_over_at = 0;
-  w->serve_until = CFS_NEVER;
+  w->limiter_lease_end = CFS_NEVER;
   do
     w->limiter = (w->limiter + 1) % WL_HOSTS;
   while (!w->alive[w->limiter]);
--- a/tests/world/limit.h
+++ b/tests/world/limit.h
@@ -26,7 +26,7 @@
 struct wl_request
 {
   struct cfs_request request;
-  bool within;
+  bool within_rate;
 };
 
 /** struct world_limit - everything */
@@ -40,14 +40,15 @@
   struct cfs_bucket bucket;
   unsigned limiter;
   uint64_t epoch;
-  int64_t take_over_at, serve_until;
+  int64_t take_over_at, limiter_lease_end;
   struct wl_message messages[WL_MESSAGES];
   size_t message_count;
   int loss_percent, duplicate_percent;
   int64_t delay_us, jitter_us;
-  double admitted_level, asked_level;
-  int64_t admitted_at, asked_at;
-  uint64_t arrived, admitted, refused, wrongful, over, within;
+  double admitted_bucket_level, arrival_bucket_level;
+  int64_t admitted_bucket_at, arrival_bucket_at;
+  uint64_t arrived, admitted, refused, refused_within_rate,
+      admitted_over_bound, arrived_within_rate;
   uint64_t messages_sent, lost_with_host;
   double worst_wait_us;
 };
@@ -59,7 +60,7 @@
 void wl_end (struct world_limit *w);
 
 /** wl_arrive() - a request arrives at a host */
-void wl_arrive (struct world_limit *w, unsigned host, int64_t patience_us);
+void wl_arrive (struct world_limit *w, unsigned host, int64_t timeout_us);
 
 /** wl_run() - advances virtual time */
 void wl_run (struct world_limit *w, int64_t us);
--- a/tests/world/seeds.c
+++ b/tests/world/seeds.c
@@ -10,12 +10,12 @@
 uint64_t
 seeds_failed (bool (*run) (uint64_t seed))
 {
-  const char *one = getenv ("SEED");
+  const char *only_seed = getenv ("SEED");
   uint64_t seeds = getenv ("CHECK_SHORT") ? SEEDS / 10 : SEEDS;
   uint64_t failed = 0;
 
-  if (one)
-    return !run (strtoull (one, NULL, 10));
+  if (only_seed)
+    return !run (strtoull (only_seed, NULL, 10));
   for (uint64_t seed = 1; seed <= seeds; seed++)
     {
       failed += !run (seed);
--- a/tests/world/sessions.c
+++ b/tests/world/sessions.c
@@ -10,7 +10,7 @@
 #include <string.h>
 
 #define STEP_US 1000
-#define WIRE_QUEUE 16
+#define CONN_QUEUE_MAX 16
 #define MAX_AGE_US (400 * CFS_US_PER_MS)
 #define TIMEOUT_US (300 * CFS_US_PER_MS)
 
@@ -22,10 +22,10 @@
   struct cfs_position after;
   char name[40];
   char arg[40];
-  int64_t arrives;
-  int64_t answers;
-  bool ran;
-  bool lost;
+  int64_t arrives_at;
+  int64_t replies_at;
+  bool executed;
+  bool reply_lost;
   struct cfs_reply reply;
 };
 
@@ -42,7 +42,7 @@
   bool dead;
   bool broken;
   int64_t opens_at;
-  struct ws_queued_statement queue[WIRE_QUEUE];
+  struct ws_queued_statement queue[CONN_QUEUE_MAX];
   size_t count;
   enum cfs_tx_state state;
   bool read_tx;
@@ -50,29 +50,29 @@
   unsigned tx_op;
   bool tx_wrote;
   char value[40];
-  char shapes[16][64];
-  size_t shape_count;
+  char prepared[16][64];
+  size_t prepared_count;
 };
 
-static struct world_sessions *the_world;
+static struct world_sessions *current_world;
 
 static int64_t
 world_clock (void)
 {
-  return the_world->now;
+  return current_world->now;
 }
 
 static uint64_t
-draw (struct world_sessions *w, uint64_t bound)
+random_below (struct world_sessions *w, uint64_t bound)
 {
   return cfs_random (&w->seed) % bound;
 }
 
 static void
-fault (struct world_sessions *w, const char *text)
+record_violation (struct world_sessions *w, const char *text)
 {
-  if (!w->fault)
-    w->fault = text;
+  if (!w->violation)
+    w->violation = text;
 }
 
 static struct ws_instance *
@@ -94,7 +94,8 @@
     {
       struct ws_instance *r = &w->instances[i];
 
-      if (r->primary || !r->alive || !p->alive || w->now < r->deaf_until)
+      if (r->primary || !r->alive || !p->alive
+          || w->now < r->replication_cut_until)
         continue;
       if (r->received >= w->term_start)
         r->term = p->term;
@@ -113,7 +114,7 @@
 
   for (unsigned i = 0; i < WS_INSTANCES; i++)
     if (!w->instances[i].primary && w->instances[i].alive
-        && w->now >= w->instances[i].deaf_until
+        && w->now >= w->instances[i].replication_cut_until
         && (!best || w->instances[i].received > best->received))
       best = &w->instances[i];
   if (!best || w->length == WS_COMMITS)
@@ -123,12 +124,12 @@
   w->length++;
   p->received = w->length;
   best->received = w->length;
-  w->ops[op].effects++;
-  w->ops[op].number = w->length;
-  if (w->ops[op].effects > 1)
-    fault (w, "a write took effect twice");
+  w->ops[op].applied_count++;
+  w->ops[op].history_position = w->length;
+  if (w->ops[op].applied_count > 1)
+    record_violation (w, "a write took effect twice");
   if (w->ops[op].reported_not_applied)
-    fault (w, "a write took effect after a promise");
+    record_violation (w, "a write took effect after a promise");
   return true;
 }
 
@@ -145,32 +146,34 @@
   if (!best || !old)
     return;
   old->primary = false;
-  old->deaf_until = w->now + (int64_t)draw (w, 600) * CFS_US_PER_MS;
+  old->replication_cut_until
+      = w->now + (int64_t)random_below (w, 600) * CFS_US_PER_MS;
   best->primary = true;
   best->term = old->term + 1;
   w->term_start = best->received;
   if (w->length > best->received)
-    fault (w, "the world lost an acknowledged commit");
-  w->told_at = w->now + (int64_t)draw (w, 200) * CFS_US_PER_MS;
-  for (struct ws_conn *k = w->wires; k; k = k->next)
-    if (k->at == old && !k->read_tx && k->state != TX_IDLE)
-      k->state = TX_FAILED;
+    record_violation (w, "the world lost an acknowledged commit");
+  w->directory_update_at
+      = w->now + (int64_t)random_below (w, 200) * CFS_US_PER_MS;
+  for (struct ws_conn *conn = w->conns; conn; conn = conn->next)
+    if (conn->at == old && !conn->read_tx && conn->state != TX_IDLE)
+      conn->state = TX_FAILED;
 }
 
 static void
-tell_fleet (struct world_sessions *w)
+update_directory (struct world_sessions *w)
 {
   const struct ws_instance *p = primary_of (w);
-  struct cfs_failover *turn;
+  struct cfs_failover *failover;
 
-  if (!w->told_at || w->now < w->told_at || !p)
+  if (!w->directory_update_at || w->now < w->directory_update_at || !p)
     return;
-  w->told_at = 0;
-  turn = cfs_table_add (&w->fleet.failovers, "db");
-  turn->open = false;
-  turn->fence++;
-  turn->changed = 1000 + turn->fence;
-  cfs_copy (turn->target, sizeof turn->target, p->name);
+  w->directory_update_at = 0;
+  failover = cfs_table_add (&w->fleet.failovers, "db");
+  failover->open = false;
+  failover->fence++;
+  failover->changed = 1000 + failover->fence;
+  cfs_copy (failover->target, sizeof failover->target, p->name);
 }
 
 static struct cfs_position
@@ -183,315 +186,321 @@
 
 /* Whether a read at this point sees all that it must. */
 static void
-check_fresh (struct world_sessions *w, const struct ws_conn *k,
-             const struct ws_caller *c)
+check_read_freshness (struct world_sessions *w, const struct ws_conn *conn,
+                      const struct ws_caller *c)
 {
   const struct cfs_route *route = &w->fleet.catalog->routes[0];
   int64_t bound = c->began_at;
 
   if (route->consistency != CONSISTENCY_LATEST)
     bound -= route->max_age_us;
-  for (uint64_t n = k->at->received; n < w->length; n++)
+  for (uint64_t n = conn->at->received; n < w->length; n++)
     {
       const struct ws_commit *h = &w->history[n];
 
       if (h->acked_at < bound)
-        fault (w, "a read was stale");
+        record_violation (w, "a read was stale");
       if (route->consistency == CONSISTENCY_OWN
-          && w->ids[h->id].caller == c->index
-          && w->ops[w->ids[h->id].op].succeeded && n < c->own)
-        fault (w, "a session did not see its own commit");
+          && w->statements[h->id].caller == c->index
+          && w->ops[w->statements[h->id].op].succeeded && n < c->own_commit)
+        record_violation (w, "a session did not see its own commit");
     }
 }
 
 static bool
-has_shape (const struct ws_conn *k, const char *name, const char *shape)
+has_prepared (const struct ws_conn *conn, const char *name,
+              const char *prepared_text)
 {
-  char want[64];
+  char expected[64];
 
-  snprintf (want, sizeof want, "%s=%s", name, shape);
-  for (size_t i = 0; i < k->shape_count; i++)
-    if (strcmp (k->shapes[i], want) == 0)
+  snprintf (expected, sizeof expected, "%s=%s", name, prepared_text);
+  for (size_t i = 0; i < conn->prepared_count; i++)
+    if (strcmp (conn->prepared[i], expected) == 0)
       return true;
   return false;
 }
 
 /* What must hold for each statement of a caller that runs. */
 static void
-check_run (struct world_sessions *w, struct ws_conn *k,
-           struct ws_queued_statement *s)
+check_statement (struct world_sessions *w, struct ws_conn *conn,
+                 struct ws_queued_statement *s)
 {
-  struct ws_statement_info *id = &w->ids[s->id];
+  struct ws_statement_info *id = &w->statements[s->id];
   struct ws_caller *c = &w->callers[id->caller];
   char team[16];
 
   snprintf (team, sizeof team, "team%u", id->caller % 2);
-  if (strcmp (team, k->team) != 0)
-    fault (w, "a statement ran for another team");
+  if (strcmp (team, conn->team) != 0)
+    record_violation (w, "a statement ran for another team");
   if (c->id != s->id)
     return;
-  if (k->state == TX_OPEN && k->tx_caller >= 0
-      && k->tx_caller != (int)id->caller)
-    fault (w, "a statement ran in another caller's transaction");
-  if (c->in_tx && k->state != TX_OPEN)
-    fault (w, "a statement ran outside its transaction");
-  if (strcmp (c->value, k->value) != 0)
-    fault (w, "a statement ran with other values");
-  if (s->verb == VERB_EXECUTE && !has_shape (k, s->name, c->shape))
-    fault (w, "a prepared name stood for another shape");
-  k->tx_caller = (int)id->caller;
+  if (conn->state == TX_OPEN && conn->tx_caller >= 0
+      && conn->tx_caller != (int)id->caller)
+    record_violation (w, "a statement ran in another caller's transaction");
+  if (c->in_tx && conn->state != TX_OPEN)
+    record_violation (w, "a statement ran outside its transaction");
+  if (strcmp (c->value, conn->value) != 0)
+    record_violation (w, "a statement ran with other values");
+  if (s->verb == VERB_EXECUTE
+      && !has_prepared (conn, s->name, c->prepared_text))
+    record_violation (w, "a prepared name stood for another shape");
+  conn->tx_caller = (int)id->caller;
 }
 
 static enum cfs_reply_code
-run_work (struct world_sessions *w, struct ws_conn *k,
-          struct ws_queued_statement *s)
+run_query (struct world_sessions *w, struct ws_conn *conn,
+           struct ws_queued_statement *s)
 {
-  struct ws_statement_info *id = &w->ids[s->id];
+  struct ws_statement_info *id = &w->statements[s->id];
   struct ws_caller *c = &w->callers[id->caller];
   bool writes
       = s->verb == VERB_WRITE || (s->verb == VERB_EXECUTE && s->writes);
 
-  if (k->state == TX_FAILED)
+  if (conn->state == TX_FAILED)
     return REPLY_NOT_PRIMARY;
   if (s->after.term)
     {
-      struct cfs_position have = position_of (k->at);
+      struct cfs_position have = position_of (conn->at);
 
       if (cfs_position_compare (&have, &s->after) < 0)
         return REPLY_BEHIND;
     }
-  if (writes && (!k->at->primary || (k->state == TX_OPEN && k->read_tx)))
+  if (writes
+      && (!conn->at->primary || (conn->state == TX_OPEN && conn->read_tx)))
     return REPLY_NOT_PRIMARY;
-  check_run (w, k, s);
+  check_statement (w, conn, s);
   if (!writes)
-    check_fresh (w, k, c);
-  if (++id->runs > 1 && writes && k->state == TX_IDLE)
-    fault (w, "a single write ran twice");
-  if (writes && k->state == TX_OPEN)
-    k->tx_wrote = true;
-  else if (writes && !commit (w, k->at, s->id, id->op))
+    check_read_freshness (w, conn, c);
+  if (++id->run_count > 1 && writes && conn->state == TX_IDLE)
+    record_violation (w, "a single write ran twice");
+  if (writes && conn->state == TX_OPEN)
+    conn->tx_wrote = true;
+  else if (writes && !commit (w, conn->at, s->id, id->op))
     return REPLY_FAILED;
-  k->tx_op = id->op;
+  conn->tx_op = id->op;
   return REPLY_OK;
 }
 
 static enum cfs_reply_code
-run_commit (struct world_sessions *w, struct ws_conn *k,
+run_commit (struct world_sessions *w, struct ws_conn *conn,
             struct ws_queued_statement *s)
 {
-  struct ws_statement_info *id = &w->ids[s->id];
+  struct ws_statement_info *id = &w->statements[s->id];
   enum cfs_reply_code code = REPLY_OK;
 
-  if (!w->ops[id->op].commit_asked)
-    fault (w, "a commit ran that nobody asked for");
-  if (k->state != TX_OPEN)
+  if (!w->ops[id->op].commit_requested)
+    record_violation (w, "a commit ran that nobody asked for");
+  if (conn->state != TX_OPEN)
     code = REPLY_NOT_PRIMARY;
-  else if (k->tx_wrote && k->tx_op != id->op)
-    fault (w, "a commit ended another transaction");
-  else if (k->tx_wrote && !commit (w, k->at, s->id, id->op))
+  else if (conn->tx_wrote && conn->tx_op != id->op)
+    record_violation (w, "a commit ended another transaction");
+  else if (conn->tx_wrote && !commit (w, conn->at, s->id, id->op))
     code = REPLY_FAILED;
-  k->state = TX_IDLE;
+  conn->state = TX_IDLE;
   return code;
 }
 
 static enum cfs_reply_code
-run_begin (struct ws_conn *k, const struct ws_queued_statement *s)
+run_begin (struct ws_conn *conn, const struct ws_queued_statement *s)
 {
-  struct cfs_position have = position_of (k->at);
+  struct cfs_position have = position_of (conn->at);
 
-  if (s->verb == VERB_BEGIN && !k->at->primary)
+  if (s->verb == VERB_BEGIN && !conn->at->primary)
     return REPLY_NOT_PRIMARY;
   if (s->after.term && cfs_position_compare (&have, &s->after) < 0)
     return REPLY_BEHIND;
-  k->state = TX_OPEN;
-  k->read_tx = s->verb == VERB_BEGIN_READ;
-  k->tx_caller = -1;
-  k->tx_wrote = false;
+  conn->state = TX_OPEN;
+  conn->read_tx = s->verb == VERB_BEGIN_READ;
+  conn->tx_caller = -1;
+  conn->tx_wrote = false;
   return REPLY_OK;
 }
 
 static void
-run_statement (struct world_sessions *w, struct ws_conn *k,
+run_statement (struct world_sessions *w, struct ws_conn *conn,
                struct ws_queued_statement *s)
 {
   enum cfs_reply_code code = REPLY_OK;
 
-  s->ran = true;
+  s->executed = true;
   switch (s->verb)
     {
     case VERB_BEGIN:
     case VERB_BEGIN_READ:
-      code = run_begin (k, s);
+      code = run_begin (conn, s);
       break;
     case VERB_ROLLBACK:
-      k->state = TX_IDLE;
+      conn->state = TX_IDLE;
       break;
     case VERB_COMMIT:
-      code = run_commit (w, k, s);
+      code = run_commit (w, conn, s);
       break;
     case VERB_RESET:
-      k->value[0] = '\0';
-      k->shape_count = 0;
+      conn->value[0] = '\0';
+      conn->prepared_count = 0;
       break;
     case VERB_SET:
-      cfs_copy (k->value, sizeof k->value, s->arg);
+      cfs_copy (conn->value, sizeof conn->value, s->arg);
       break;
     case VERB_PREPARE:
-      snprintf (k->shapes[k->shape_count++ % 16], 64, "%.23s=%.39s", s->name,
-                s->arg);
+      snprintf (conn->prepared[conn->prepared_count++ % 16], 64, "%.23s=%.39s",
+                s->name, s->arg);
       break;
     default:
-      code = w->faults && draw (w, 20) == 0 ? REPLY_BUSY : run_work (w, k, s);
+      code = w->faults && random_below (w, 20) == 0 ? REPLY_BUSY
+                                                    : run_query (w, conn, s);
       break;
     }
   memset (&s->reply, 0, sizeof s->reply);
   s->reply.code = code;
-  s->reply.state = k->state;
-  s->reply.position = position_of (k->at);
+  s->reply.state = conn->state;
+  s->reply.position = position_of (conn->at);
   s->reply.rows = "";
   if (s->id && code == REPLY_OK)
     s->reply.proof = "proof";
 }
 
 static void
-wire_send (struct cfs_target_conn *base, const struct cfs_statement *st,
+conn_send (struct cfs_target_conn *base, const struct cfs_statement *st,
            size_t count)
 {
-  struct ws_conn *k = (struct ws_conn *)base;
-  struct world_sessions *w = k->world;
-  int64_t at = w->now + 500 + (int64_t)draw (w, 2000);
+  struct ws_conn *conn = (struct ws_conn *)base;
+  struct world_sessions *w = conn->world;
+  int64_t at = w->now + 500 + (int64_t)random_below (w, 2000);
 
-  for (size_t i = 0; i < count && k->count < WIRE_QUEUE; i++)
+  for (size_t i = 0; i < count && conn->count < CONN_QUEUE_MAX; i++)
     {
-      struct ws_queued_statement *s = &k->queue[k->count++];
+      struct ws_queued_statement *s = &conn->queue[conn->count++];
 
-      if (k->count > 1 && k->queue[k->count - 2].arrives > at)
-        at = k->queue[k->count - 2].arrives;
+      if (conn->count > 1 && conn->queue[conn->count - 2].arrives_at > at)
+        at = conn->queue[conn->count - 2].arrives_at;
       memset (s, 0, sizeof *s);
       s->verb = st[i].verb;
       s->id = st[i].id ? (unsigned)strtoul (st[i].id, NULL, 10) : 0;
       s->after = st[i].after;
       cfs_copy (s->name, sizeof s->name, st[i].name);
       cfs_copy (s->arg, sizeof s->arg, st[i].arg);
-      s->writes = s->id && w->callers[w->ids[s->id].caller].prepared_writes;
-      s->arrives = at;
-      s->answers = at + 1000 + (int64_t)draw (w, 8000);
-      s->lost = w->faults && draw (w, 60) == 0;
+      s->writes
+          = s->id && w->callers[w->statements[s->id].caller].prepared_writes;
+      s->arrives_at = at;
+      s->replies_at = at + 1000 + (int64_t)random_below (w, 8000);
+      s->reply_lost = w->faults && random_below (w, 60) == 0;
     }
 }
 
 static void
-wire_close (struct cfs_target_conn *base)
+conn_close (struct cfs_target_conn *base)
 {
-  struct ws_conn *k = (struct ws_conn *)base;
+  struct ws_conn *conn = (struct ws_conn *)base;
 
-  k->dead = true;
+  conn->dead = true;
 }
 
-static const struct cfs_target_conn_ops wire_ops = { wire_send, wire_close };
+static const struct cfs_target_conn_ops conn_ops = { conn_send, conn_close };
 
 static struct cfs_target_conn *
-open_wire (const struct cfs_target_adapter *edge,
+conn_open (const struct cfs_target_adapter *adapter,
            const struct cfs_target_conn_setup *setup)
 {
-  struct world_sessions *w = the_world;
-  struct ws_conn *k = cfs_alloc (sizeof *k);
+  struct world_sessions *w = current_world;
+  struct ws_conn *conn = cfs_alloc (sizeof *conn);
 
-  (void)edge;
-  k->base.ops = &wire_ops;
-  k->world = w;
+  (void)adapter;
+  conn->base.ops = &conn_ops;
+  conn->world = w;
   for (unsigned i = 0; i < WS_INSTANCES; i++)
     if (strcmp (w->instances[i].name, setup->target) == 0)
-      k->at = &w->instances[i];
-  k->events = setup->events;
-  k->owner = setup->owner;
-  cfs_copy (k->team, sizeof k->team, setup->team);
-  k->opens_at = w->now + 1000;
-  k->tx_caller = -1;
-  k->next = w->wires;
-  w->wires = k;
-  return &k->base;
+      conn->at = &w->instances[i];
+  conn->events = setup->events;
+  conn->owner = setup->owner;
+  cfs_copy (conn->team, sizeof conn->team, setup->team);
+  conn->opens_at = w->now + 1000;
+  conn->tx_caller = -1;
+  conn->next = w->conns;
+  w->conns = conn;
+  return &conn->base;
 }
 
 static void
-lose_wire (struct ws_conn *k)
+fail_conn (struct ws_conn *conn)
 {
-  k->dead = true;
-  k->events->lost (k->owner, "scripted");
+  conn->dead = true;
+  conn->events->lost (conn->owner, "scripted");
 }
 
 /* Orders that were on their way when the wire was closed. */
 static void
-finish_dead (struct world_sessions *w, struct ws_conn *k)
+run_in_flight (struct world_sessions *w, struct ws_conn *conn)
 {
-  for (size_t i = 0; i < k->count; i++)
+  for (size_t i = 0; i < conn->count; i++)
     {
-      struct ws_queued_statement *s = &k->queue[i];
+      struct ws_queued_statement *s = &conn->queue[i];
 
-      if (!s->ran && s->id && w->faults && draw (w, 3) == 0
-          && w->now >= s->arrives
-          && (s->verb == VERB_COMMIT || k->state == TX_IDLE))
-        run_statement (w, k, s);
+      if (!s->executed && s->id && w->faults && random_below (w, 3) == 0
+          && w->now >= s->arrives_at
+          && (s->verb == VERB_COMMIT || conn->state == TX_IDLE))
+        run_statement (w, conn, s);
     }
 }
 
 static void
-step_wire (struct world_sessions *w, struct ws_conn *k)
+step_conn (struct world_sessions *w, struct ws_conn *conn)
 {
-  if (!k->at->alive)
+  if (!conn->at->alive)
     {
-      if (w->now - k->opens_at > 20 * CFS_US_PER_MS)
-        lose_wire (k);
+      if (w->now - conn->opens_at > 20 * CFS_US_PER_MS)
+        fail_conn (conn);
       return;
     }
-  if (!k->open && w->now >= k->opens_at)
+  if (!conn->open && w->now >= conn->opens_at)
     {
-      struct cfs_reply hello = { .position = position_of (k->at) };
+      struct cfs_reply hello = { .position = position_of (conn->at) };
 
-      k->open = true;
-      k->events->opened (k->owner, &hello);
+      conn->open = true;
+      conn->events->opened (conn->owner, &hello);
     }
-  for (size_t i = 0; i < k->count && !k->dead; i++)
-    if (!k->queue[i].ran && w->now >= k->queue[i].arrives)
-      run_statement (w, k, &k->queue[i]);
-  while (!k->dead && k->count && k->queue[0].ran
-         && w->now >= k->queue[0].answers)
+  for (size_t i = 0; i < conn->count && !conn->dead; i++)
+    if (!conn->queue[i].executed && w->now >= conn->queue[i].arrives_at)
+      run_statement (w, conn, &conn->queue[i]);
+  while (!conn->dead && conn->count && conn->queue[0].executed
+         && w->now >= conn->queue[0].replies_at)
     {
-      struct ws_queued_statement s = k->queue[0];
+      struct ws_queued_statement s = conn->queue[0];
 
-      if (s.lost)
+      if (s.reply_lost)
         {
-          lose_wire (k);
+          fail_conn (conn);
           return;
         }
-      k->count--;
-      memmove (k->queue, k->queue + 1, k->count * sizeof k->queue[0]);
-      k->events->replied (k->owner, &s.reply);
+      conn->count--;
+      memmove (conn->queue, conn->queue + 1,
+               conn->count * sizeof conn->queue[0]);
+      conn->events->replied (conn->owner, &s.reply);
     }
 }
 
 static void
-sweep_wires (struct world_sessions *w)
+free_dead_conns (struct world_sessions *w)
 {
-  struct ws_conn **at = &w->wires;
+  struct ws_conn **at = &w->conns;
 
   while (*at)
     {
-      struct ws_conn *k = *at;
+      struct ws_conn *conn = *at;
 
-      if (!k->dead)
+      if (!conn->dead)
         {
-          at = &k->next;
+          at = &conn->next;
           continue;
         }
-      finish_dead (w, k);
-      *at = k->next;
-      free (k);
+      run_in_flight (w, conn);
+      *at = conn->next;
+      free (conn);
     }
 }
 
 static bool
-is_promise (enum cfs_reply_code code)
+guarantees_not_applied (enum cfs_reply_code code)
 {
   return code == REPLY_BUSY || code == REPLY_BEHIND
          || code == REPLY_NOT_PRIMARY || code == REPLY_ABORTED
@@ -507,30 +516,30 @@
   struct ws_op *op = &w->ops[c->op];
 
   c->waiting = false;
-  c->next_at = w->now + (int64_t)draw (w, 30) * CFS_US_PER_MS;
+  c->next_at = w->now + (int64_t)random_below (w, 30) * CFS_US_PER_MS;
   if (r->code == REPLY_OK)
     {
       bool work = c->verb == VERB_READ || c->verb == VERB_WRITE
                   || c->verb == VERB_EXECUTE || c->verb == VERB_COMMIT;
 
       if (work && !r->proof)
-        fault (w, "a success without proof");
+        record_violation (w, "a success without proof");
       w->served += work;
     }
-  if (is_promise (r->code))
+  if (guarantees_not_applied (r->code))
     {
       op->reported_not_applied = true;
-      if (op->effects)
-        fault (w, "a promise after a write took effect");
+      if (op->applied_count)
+        record_violation (w, "a promise after a write took effect");
     }
   if (r->code == REPLY_OK
       && (c->verb == VERB_COMMIT || (!c->in_tx && c->verb == VERB_WRITE)))
     {
       op->succeeded = true;
-      if (c->verb == VERB_WRITE && !op->effects)
-        fault (w, "a success without an effect");
-      if (op->effects)
-        c->own = op->number;
+      if (c->verb == VERB_WRITE && !op->applied_count)
+        record_violation (w, "a success without an effect");
+      if (op->applied_count)
+        c->own_commit = op->history_position;
     }
   if (getenv ("TRACE"))
     printf ("%lld ms caller %u id %u verb %d code %s %s\n",
@@ -538,7 +547,7 @@
             cfs_reply_name (r->code), r->text ? r->text : "");
   c->in_tx = r->state == TX_OPEN;
   if (r->state == TX_FAILED)
-    c->left = 0;
+    c->statements_left = 0;
 }
 
 static void
@@ -555,7 +564,8 @@
 caller_admitted (struct cfs_caller *base, enum cfs_reply_code code)
 {
   (void)code;
-  fault (((struct ws_caller *)base)->world, "a session had to wait");
+  record_violation (((struct ws_caller *)base)->world,
+                    "a session had to wait");
 }
 
 static const struct cfs_caller_ops caller_ops
@@ -571,15 +581,15 @@
   snprintf (key, sizeof key, "key%u", c->index % 2);
   c->session = cfs_session_open (w->sessions, &c->base, "data", key, &code);
   c->in_tx = false;
-  c->left = 0;
+  c->statements_left = 0;
   c->value[0] = '\0';
-  c->shape[0] = '\0';
-  c->own = 0;
+  c->prepared_text[0] = '\0';
+  c->own_commit = 0;
 }
 
 static void
-send (struct ws_caller *c, enum cfs_verb verb, const char *name,
-      const char *arg, bool writes)
+send_statement (struct ws_caller *c, enum cfs_verb verb, const char *name,
+                const char *arg, bool writes)
 {
   struct world_sessions *w = c->world;
   struct cfs_statement s
@@ -590,15 +600,15 @@
     c->began_at = w->now;
   if (!c->in_tx)
     c->op = ++w->op_count;
-  c->id = ++w->id_count;
-  w->ids[c->id].caller = c->index;
-  w->ids[c->id].op = c->op;
+  c->id = ++w->statement_count;
+  w->statements[c->id].caller = c->index;
+  w->statements[c->id].op = c->op;
   snprintf (id, sizeof id, "%u", c->id);
   s.id = id;
   c->verb = verb;
   c->waiting = true;
   if (verb == VERB_COMMIT)
-    w->ops[c->op].commit_asked = true;
+    w->ops[c->op].commit_requested = true;
   cfs_session_statement (c->session, &s);
 }
 
@@ -607,47 +617,50 @@
 {
   struct world_sessions *w = c->world;
 
-  if (draw (w, 2))
+  if (random_below (w, 2))
     {
-      snprintf (c->value, sizeof c->value, "v%u", (unsigned)draw (w, 4));
-      send (c, VERB_SET, "name", c->value, false);
+      snprintf (c->value, sizeof c->value, "v%u",
+                (unsigned)random_below (w, 4));
+      send_statement (c, VERB_SET, "name", c->value, false);
       return;
     }
-  snprintf (c->shape, sizeof c->shape, "q%u", (unsigned)draw (w, 3));
+  snprintf (c->prepared_text, sizeof c->prepared_text, "q%u",
+            (unsigned)random_below (w, 3));
   c->prepared_writes = false;
-  send (c, VERB_PREPARE, "p", c->shape, false);
+  send_statement (c, VERB_PREPARE, "p", c->prepared_text, false);
 }
 
 static void
 send_next (struct ws_caller *c)
 {
   struct world_sessions *w = c->world;
-  uint64_t what = draw (w, 10);
+  uint64_t choice = random_below (w, 10);
 
   if (cfs_session_state (c->session) == TX_FAILED)
-    send (c, VERB_ROLLBACK, NULL, NULL, false);
-  else if (c->in_tx && c->left == 0)
-    send (c, draw (w, 4) ? VERB_COMMIT : VERB_ROLLBACK, NULL, NULL, false);
-  else if (!c->in_tx && what == 0)
+    send_statement (c, VERB_ROLLBACK, NULL, NULL, false);
+  else if (c->in_tx && c->statements_left == 0)
+    send_statement (c, random_below (w, 4) ? VERB_COMMIT : VERB_ROLLBACK, NULL,
+                    NULL, false);
+  else if (!c->in_tx && choice == 0)
     {
-      c->left = 1 + (unsigned)draw (w, 4);
-      c->reads_only = draw (w, 3) == 0;
-      send (c, c->reads_only ? VERB_BEGIN_READ : VERB_BEGIN, NULL, NULL,
-            false);
+      c->statements_left = 1 + (unsigned)random_below (w, 4);
+      c->reads_only = random_below (w, 3) == 0;
+      send_statement (c, c->reads_only ? VERB_BEGIN_READ : VERB_BEGIN, NULL,
+                      NULL, false);
     }
-  else if (!c->in_tx && what == 1)
+  else if (!c->in_tx && choice == 1)
     send_setting (c);
   else
     {
       bool reads_only = c->in_tx && c->reads_only;
 
-      c->left -= c->left > 0;
-      if (what < 5 || reads_only)
-        send (c, VERB_READ, NULL, "item", false);
-      else if (what < 7 && *c->shape)
-        send (c, VERB_EXECUTE, "p", "item", false);
+      c->statements_left -= c->statements_left > 0;
+      if (choice < 5 || reads_only)
+        send_statement (c, VERB_READ, NULL, "item", false);
+      else if (choice < 7 && *c->prepared_text)
+        send_statement (c, VERB_EXECUTE, "p", "item", false);
       else
-        send (c, VERB_WRITE, NULL, "item data", true);
+        send_statement (c, VERB_WRITE, NULL, "item data", true);
     }
 }
 
@@ -656,9 +669,9 @@
 {
   struct world_sessions *w = c->world;
 
-  if (w->now < c->next_at || w->id_count > WS_STATEMENTS_MAX - 16)
+  if (w->now < c->next_at || w->statement_count > WS_STATEMENTS_MAX - 16)
     return;
-  if (c->session && w->faults && draw (w, 400) == 0)
+  if (c->session && w->faults && random_below (w, 400) == 0)
     {
       cfs_session_close (c->session);
       caller_close (&c->base);
@@ -673,36 +686,36 @@
 
 /* Another host's caller commits at the primary. */
 static void
-commit_elsewhere (struct world_sessions *w)
+commit_from_other_host (struct world_sessions *w)
 {
   struct ws_instance *p = primary_of (w);
 
-  if (p && draw (w, 15) == 0)
+  if (p && random_below (w, 15) == 0)
     {
-      w->ops[0].effects = 0;
-      w->ids[0].caller = WS_CALLERS;
+      w->ops[0].applied_count = 0;
+      w->statements[0].caller = WS_CALLERS;
       commit (w, p, 0, 0);
     }
 }
 
 static void
-draw_fault (struct world_sessions *w)
+inject_random_fault (struct world_sessions *w)
 {
-  struct ws_instance *i = &w->instances[draw (w, WS_INSTANCES)];
+  struct ws_instance *i = &w->instances[random_below (w, WS_INSTANCES)];
 
-  switch (draw (w, 2000))
+  switch (random_below (w, 2000))
     {
     case 0:
       ws_change_primary (w);
       break;
     case 1:
       if (!i->primary)
-        i->lag_us = (int64_t)draw (w, 600) * CFS_US_PER_MS;
+        i->lag_us = (int64_t)random_below (w, 600) * CFS_US_PER_MS;
       break;
     case 2:
-      for (struct ws_conn *k = w->wires; k; k = k->next)
-        if (!k->dead && draw (w, 4) == 0)
-          lose_wire (k);
+      for (struct ws_conn *conn = w->conns; conn; conn = conn->next)
+        if (!conn->dead && random_below (w, 4) == 0)
+          fail_conn (conn);
       break;
     default:
       break;
@@ -714,21 +727,21 @@
 {
   w->now += STEP_US;
   replicate (w);
-  tell_fleet (w);
+  update_directory (w);
   w->fleet.lease_until = w->now + CFS_US_PER_S;
   cfs_quota_renew (&w->quota, w->now + CFS_US_PER_S);
-  for (struct ws_conn *k = w->wires; k; k = k->next)
-    if (!k->dead)
-      step_wire (w, k);
-  sweep_wires (w);
+  for (struct ws_conn *conn = w->conns; conn; conn = conn->next)
+    if (!conn->dead)
+      step_conn (w, conn);
+  free_dead_conns (w);
   cfs_pool_tick (w->pool, w->now);
   cfs_sessions_tick (w->sessions, w->now);
   for (unsigned i = 0; i < WS_CALLERS; i++)
     step_caller (&w->callers[i]);
   if (w->faults)
     {
-      commit_elsewhere (w);
-      draw_fault (w);
+      commit_from_other_host (w);
+      inject_random_fault (w);
     }
 }
 
@@ -737,8 +750,8 @@
 {
   int64_t until = w->now + us;
 
-  the_world = w;
-  while (w->now < until && !w->fault)
+  current_world = w;
+  while (w->now < until && !w->violation)
     step (w);
 }
 
@@ -775,7 +788,7 @@
 }
 
 static void
-give_shares (struct world_sessions *w)
+grant_shares (struct world_sessions *w)
 {
   Cfs__TeamShare rows[2];
   Cfs__TeamShare *list[2];
@@ -817,7 +830,7 @@
   struct world_sessions *w = cfs_alloc (sizeof *w);
   struct cfs_sessions_setup setup = { .fleet = &w->fleet, .quota = &w->quota };
 
-  the_world = w;
+  current_world = w;
   w->seed = seed * UINT64_C (0x9E3779B97F4A7C15) + 1;
   w->now = CFS_US_PER_S;
   w->faults = faults;
@@ -825,11 +838,11 @@
   cfs_fleet_init (&w->fleet, &w->settings, NULL);
   cfs_quota_init (&w->quota, w->now);
   make_catalog (w, kind);
-  give_shares (w);
+  grant_shares (w);
   for (unsigned i = 0; i < WS_INSTANCES; i++)
     add_instance (w, i);
-  w->edge.open = open_wire;
-  w->pool = cfs_pool_new (&w->edge, &w->fleet, world_clock, w->seed | 1);
+  w->adapter.open = conn_open;
+  w->pool = cfs_pool_new (&w->adapter, &w->fleet, world_clock, w->seed | 1);
   setup.pool = w->pool;
   w->sessions = cfs_sessions_new (&setup);
   for (unsigned i = 0; i < WS_CALLERS; i++)
@@ -844,12 +857,12 @@
 const char *
 ws_check_end (struct world_sessions *w)
 {
-  if (w->fault)
-    return w->fault;
+  if (w->violation)
+    return w->violation;
   if (w->served < 50)
     return "hardly anything was served";
   for (unsigned i = 1; i <= w->op_count; i++)
-    if (w->ops[i].reported_not_applied && w->ops[i].effects)
+    if (w->ops[i].reported_not_applied && w->ops[i].applied_count)
       return "a promise was not kept";
   return NULL;
 }
@@ -857,13 +870,13 @@
 void
 ws_free (struct world_sessions *w)
 {
-  the_world = w;
+  current_world = w;
   for (unsigned i = 0; i < WS_CALLERS; i++)
     if (w->callers[i].session)
       cfs_session_close (w->callers[i].session);
   cfs_sessions_free (w->sessions);
   cfs_pool_free (w->pool);
-  sweep_wires (w);
+  free_dead_conns (w);
   cfs_quota_end (&w->quota);
   cfs_fleet_end (&w->fleet);
   free (w);
--- a/tests/world/sessions.h
+++ b/tests/world/sessions.h
@@ -33,7 +33,7 @@
   uint64_t term;
   uint64_t received;
   int64_t lag_us;
-  int64_t deaf_until;
+  int64_t replication_cut_until;
 };
 
 /** struct ws_statement_info - what is known of one statement of a caller */
@@ -42,17 +42,17 @@
   unsigned caller;
   unsigned op;
   bool sent;
-  unsigned runs;
+  unsigned run_count;
 };
 
 /** struct ws_op - one operation; its writes take effect together */
 struct ws_op
 {
-  unsigned effects;
-  uint64_t number;
+  unsigned applied_count;
+  uint64_t history_position;
   bool reported_not_applied;
   bool succeeded;
-  bool commit_asked;
+  bool commit_requested;
 };
 
 /** struct ws_caller - a scripted caller */
@@ -70,11 +70,11 @@
   enum cfs_verb verb;
   int64_t began_at;
   int64_t next_at;
-  unsigned left;
+  unsigned statements_left;
   char value[16];
-  char shape[16];
+  char prepared_text[16];
   bool prepared_writes;
-  uint64_t own;
+  uint64_t own_commit;
 };
 
 /** struct world_sessions - everything */
@@ -85,7 +85,7 @@
   struct cfs_settings settings;
   struct cfs_fleet fleet;
   struct cfs_quota quota;
-  struct cfs_target_adapter edge;
+  struct cfs_target_adapter adapter;
   struct cfs_pool *pool;
   struct cfs_sessions *sessions;
   struct ws_instance instances[WS_INSTANCES];
@@ -93,15 +93,15 @@
   struct ws_commit history[WS_COMMITS];
   uint64_t length;
   uint64_t term_start;
-  struct ws_statement_info ids[WS_STATEMENTS_MAX];
+  struct ws_statement_info statements[WS_STATEMENTS_MAX];
   struct ws_op ops[WS_STATEMENTS_MAX];
-  unsigned id_count;
+  unsigned statement_count;
   unsigned op_count;
-  struct ws_conn *wires;
+  struct ws_conn *conns;
   bool faults;
-  int64_t told_at;
+  int64_t directory_update_at;
   unsigned served;
-  const char *fault;
+  const char *violation;
 };
 
 /** ws_new() - a group whose first instance leads, and idle callers */
