--- a/tests/world/gate.c
+++ b/tests/world/gate.c
@@ -159,7 +159,7 @@
 }
 
 static void
-do_answer (void *ctx, struct cfs_request *r, const struct cfs_gate_reply *v)
+do_reply (void *ctx, struct cfs_request *r, const struct cfs_gate_reply *v)
 {
   struct wg_host *h = ctx;
   struct world_gate *w = h->world;
@@ -227,7 +227,7 @@
 }
 
 static const struct cfs_gate_ops ops
-    = { do_connect, do_close,   do_run,    do_answer,
+    = { do_connect, do_close,   do_run,    do_reply,
         do_probe,   do_promote, do_discard };
 
 static void
--- a/tests/world/sessions.c
+++ b/tests/world/sessions.c
@@ -54,12 +54,12 @@
   size_t prepared_count;
 };
 
-static struct world_sessions *current_world;
+static struct world_sessions *the_world;
 
 static int64_t
 world_clock (void)
 {
-  return current_world->now;
+  return the_world->now;
 }
 
 static uint64_t
@@ -402,7 +402,7 @@
 conn_open (const struct cfs_target_adapter *adapter,
            const struct cfs_target_conn_setup *setup)
 {
-  struct world_sessions *w = current_world;
+  struct world_sessions *w = the_world;
   struct ws_conn *conn = cfs_alloc (sizeof *conn);
 
   (void)adapter;
@@ -750,7 +750,7 @@
 {
   int64_t until = w->now + us;
 
-  current_world = w;
+  the_world = w;
   while (w->now < until && !w->violation)
     step (w);
 }
@@ -830,7 +830,7 @@
   struct world_sessions *w = cfs_alloc (sizeof *w);
   struct cfs_sessions_setup setup = { .fleet = &w->fleet, .quota = &w->quota };
 
-  current_world = w;
+  the_world = w;
   w->seed = seed * UINT64_C (0x9E3779B97F4A7C15) + 1;
   w->now = CFS_US_PER_S;
   w->faults = faults;
@@ -870,7 +870,7 @@
 void
 ws_free (struct world_sessions *w)
 {
-  current_world = w;
+  the_world = w;
   for (unsigned i = 0; i < WS_CALLERS; i++)
     if (w->callers[i].session)
       cfs_session_close (w->callers[i].session);
