--- a/tests/world/control.c
+++ b/tests/world/control.c
@@ -1,7 +1,8 @@
 /*
- * The world checks its invariants at every step and notes the first fault:
- * one leader a term, equal logs, committed versions that never change, and
- * no resource that two member hosts act on at once.
+ * Checked at every step, the first violation is recorded: at most one
+ * confirmed leader at a time, and at most one agent that holds the lease on
+ * a resource.  Whenever a host applies a version: all hosts accepted the same
+ * request as that version.
  */
 #include "control.h"
 
@@ -141,7 +142,7 @@
   send_message (h->world, (int)h->index, host[1] - '1', &p);
 }
 
-/* Checks that every host accepts the same version the same way. */
+/* Checks that all hosts accepted the same request as a version. */
 static void
 check_version (struct wc_host *h)
 {
@@ -154,7 +155,7 @@
   if (v->number > w->accepted_count)
     w->accepted_requests[w->accepted_count++] = cfs_strdup (v->request_id);
   else if (strcmp (w->accepted_requests[v->number - 1], v->request_id) != 0)
-    record_violation (w, "an accepted version changed");
+    record_violation (w, "two requests were accepted as the same version");
 }
 
 static void
@@ -417,9 +418,9 @@
   for (unsigned i = 0; i < WC_AGENTS; i++)
     holders += wc_holds_lease (w, i, "gate/orders");
   if (ready > 1)
-    record_violation (w, "two leaders are ready");
+    record_violation (w, "two confirmed leaders at the same time");
   if (holders > 1)
-    record_violation (w, "two hosts act on gate/orders");
+    record_violation (w, "two hosts hold the lease on gate/orders");
 }
 
 static void
@@ -455,7 +456,7 @@
   return w->agents[to - WC_VOTERS].frozen;
 }
 
-/* Messages to a frozen process wait in its socket. */
+/* Messages to a suspended process are queued in its socket. */
 static void
 deliver_due (struct world_control *w)
 {
--- a/tests/world/control.h
+++ b/tests/world/control.h
@@ -1,8 +1,9 @@
 /**
- * DOC: Control hosts and member hosts in virtual time.
+ * DOC: Simulation of the control hosts and of the hosts that they manage.
  *
- * Real replicated logs, states and leaders over a scripted network, disks
- * and clocks.  Shared by the scenarios and the random schedules.
+ * The replicated log, the state and the control leader are the real modules;
+ * the network, the disks and the clocks are simulated, and time is virtual.
+ * Used by the scenarios, the random schedules and the benchmarks.
  */
 #ifndef WORLD_CONTROL_H
 #define WORLD_CONTROL_H
@@ -15,7 +16,15 @@
 #define WC_MESSAGES 4096
 #define WC_STEP_US 5000
 
-/** struct wc_disk - what survives a crash */
+/**
+ * struct wc_disk - persistent state of a control host
+ * @id: Raft member id; a new disk gets a new one
+ * @term: current Raft term
+ * @vote: id of the candidate that was voted for in @term, or 0
+ * @snapshot: last snapshot
+ * @entries: log entries after @snapshot
+ * @full: writes fail
+ */
 struct wc_disk
 {
   uint64_t id, term, vote;
@@ -25,7 +34,12 @@
   bool full;
 };
 
-/** struct wc_host - one control host */
+/**
+ * struct wc_host - one control host
+ * @alive: the process runs
+ * @frozen: the process is suspended; messages to it are queued
+ * @drift_ppm: error of its clock, in parts per million
+ */
 struct wc_host
 {
   struct world_control *world;
@@ -38,7 +52,19 @@
   struct cfs_leader *leader;
 };
 
-/** struct wc_agent - one member host: heartbeats, lease, directory */
+/**
+ * struct wc_agent - the control client of one managed host
+ * @control_host: index of the control host that it sends heartbeats to
+ * @cut: no messages to or from it are delivered
+ * @boot: random id of this run of the process
+ * @seq: number of the last heartbeat
+ * @version: last configuration version received
+ * @directory: last version of the lease directory received
+ * @sent_at: time of the last heartbeat, by its own clock
+ * @lease_until: end of the lease, by its own clock
+ * @reply_received: the last heartbeat was answered by the leader
+ * @leases: struct cfs_lease by resource, as received from the leader
+ */
 struct wc_agent
 {
   unsigned index, control_host;
@@ -50,7 +76,13 @@
   struct cfs_table leases;
 };
 
-/** struct wc_message - a packed message under way */
+/**
+ * struct wc_message - a message in transit
+ * @data: serialized message
+ * @at: time of delivery
+ * @from: sender: index of a control host, or WC_VOTERS plus that of an agent
+ * @to: receiver, likewise
+ */
 struct wc_message
 {
   uint8_t *data;
@@ -59,7 +91,18 @@
   int from, to;
 };
 
-/** struct world_control - everything, by value on the heap */
+/**
+ * struct world_control - the whole simulation
+ * @seed: state of the random generator
+ * @cut: control hosts between which messages are dropped, by sender and
+ * receiver
+ * @loss_percent: messages that are lost
+ * @duplicate_percent: messages that are delivered twice
+ * @delay_us: minimum delay of a message
+ * @jitter_us: range of the random delay added to @delay_us
+ * @accepted_requests: request id of each accepted configuration version
+ * @violation: first violated invariant, or NULL
+ */
 struct world_control
 {
   int64_t now;
@@ -78,7 +121,8 @@
   uint64_t next_request;
 };
 
-/** wc_new() - formed group, members known to nobody yet */
+/** wc_new() - a control group of WC_VOTERS voters, and agents that have not
+ * sent a heartbeat yet */
 struct world_control *wc_new (uint64_t seed);
 
 /** wc_free() - frees everything */
@@ -87,26 +131,32 @@
 /** wc_run() - advances virtual time */
 void wc_run (struct world_control *w, int64_t us);
 
-/** wc_crash() - a control host loses its memory */
+/** wc_crash() - stops a control host; its disk is kept */
 void wc_crash (struct world_control *w, unsigned host);
 
 /** wc_start() - starts a control host from its disk */
 void wc_start (struct world_control *w, unsigned host);
 
-/** wc_lose_disk() - the disk of a stopped host is replaced by an empty one */
+/** wc_lose_disk() - replaces the disk of a stopped host by an empty one */
 void wc_lose_disk (struct world_control *w, unsigned host);
 
-/** wc_find_leader() - the control host that leads with a majority, or -1 */
+/** wc_find_leader() - returns the index of the control host that is the
+ * confirmed leader, or -1 */
 int wc_find_leader (struct world_control *w);
 
-/** wc_patch() - proposes a patch on a host; false when it does not lead */
+/**
+ * wc_patch() - proposes a configuration patch on a control host
+ * @base: version that the patch is based on
+ *
+ * Return: whether the host is alive and accepted the proposal as the leader.
+ */
 bool wc_patch (struct world_control *w, unsigned host, uint64_t base,
                const char *patch, const char *request_id);
 
-/** wc_agent_restart() - a member host starts anew */
+/** wc_agent_restart() - restarts an agent with a new boot id */
 void wc_agent_restart (struct world_control *w, unsigned agent);
 
-/** wc_holds_lease() - whether a member host acts on a resource now */
+/** wc_holds_lease() - whether an agent holds a valid lease on a resource */
 bool wc_holds_lease (struct world_control *w, unsigned agent,
                      const char *resource);
 
--- a/tests/world/failover.c
+++ b/tests/world/failover.c
@@ -1,7 +1,9 @@
 /*
- * A question takes a random time both ways.  An order is answered and takes
- * effect 300 ms later, or has no answer and is carried out seconds later if
- * its token is still the highest.
+ * A statement to an instance takes a random time to run.  A promotion request
+ * either gets its result within 80 ms and takes effect 300 ms later, or gets
+ * no result and is carried out 2 to 10 s later.  In both cases it is rejected
+ * if the instance is stopped, or if a request with a higher fencing token was
+ * carried out before.
  */
 #include "failover.h"
 
@@ -18,6 +20,14 @@
 #define PROMOTIONS_MAX 64
 #define PROPOSALS_MAX 64
 
+/*
+ * @cut: unreachable for the control leader and for the hosts
+ * @suspect: unreachable for the hosts only
+ * @replication_cut: neither sends nor receives the log
+ * @paused: replication was paused by the failover
+ * @boot: number of restarts; a restart breaks all connections
+ * @received: position up to which it has received the log
+ */
 struct instance
 {
   char name[16];
@@ -32,7 +42,11 @@
   uint64_t received;
 };
 
-/* A connection of the leader to an instance. */
+/*
+ * A connection of the control leader to an instance.
+ * @boot: restart count of the instance as the connection was opened
+ * @due: time of the next event on the connection
+ */
 struct fake_conn
 {
   struct cfs_target_conn base;
@@ -51,6 +65,12 @@
   enum cfs_tx_state state;
 };
 
+/*
+ * A promotion request in transit.
+ * @fence: fencing token
+ * @at: time at which it is carried out
+ * @result_reported: the manager was told that the result is unknown
+ */
 struct promotion
 {
   bool pending;
@@ -60,6 +80,11 @@
   bool result_reported;
 };
 
+/*
+ * A record appended to the replicated log and not committed yet.
+ * @index: log index
+ * @at: earliest time of the commit
+ */
 struct proposal
 {
   bool pending;
@@ -70,6 +95,18 @@
   int64_t at;
 };
 
+/*
+ * The whole simulation.
+ * @faults: random faults occur
+ * @index: last log index of the replicated log
+ * @committed: last committed log index
+ * @acked_position: highest acknowledged position; a commit is acknowledged
+ * once one replica has received it
+ * @fence: highest fencing token of the promotions that were carried out
+ * @term: term of the current primary
+ * @promoting: instance that becomes primary at @promote_at, or -1
+ * @violation: first violated invariant, or NULL
+ */
 struct world
 {
   int64_t now;
@@ -168,13 +205,14 @@
   struct fake_conn *conn = (struct fake_conn *)base;
 
   if (count != 1)
-    world->violation = "more than one question at a time";
+    world->violation = "more than one statement sent at a time";
   conn->statement = *s;
   conn->statement_pending = true;
   conn->due = world->now + (int64_t)random_below (60) * CFS_US_PER_MS;
 }
 
-/* What was sent before the end still arrives. */
+/* A statement sent before the close still runs if the instance is reachable.
+ */
 static void
 conn_close (struct cfs_target_conn *base)
 {
@@ -216,7 +254,7 @@
   if (!conn->at->alive || conn->boot != conn->at->boot)
     {
       conn->dead = true;
-      conn->events->lost (conn->owner, "scripted");
+      conn->events->lost (conn->owner, "simulated connection failure");
     }
   else if (!conn->open)
     {
@@ -283,7 +321,7 @@
 {
   (void)ctx;
   if (strcmp (service, SERVICE) != 0)
-    world->violation = "an order for another service";
+    world->violation = "promotion requested for another service";
   for (int i = 0; i < PROMOTIONS_MAX; i++)
     {
       struct promotion *p = &world->promotions[i];
@@ -380,8 +418,8 @@
   cfs_failovers_apply (&world->state.failovers, &p->turn, p->index);
 }
 
-/* The primary writes, replicas receive, one replica is enough for an
-   acknowledgement. */
+/* The primary writes one entry, and each replica may receive the log so far;
+   a commit is acknowledged once one replica has it. */
 static void
 replicate (void)
 {
@@ -575,7 +613,7 @@
   wf_run (2 * CFS_US_PER_S);
   violation = world->violation;
   if (!violation && world->acked_position <= before)
-    violation = "nothing is acknowledged once all is calm";
+    violation = "no commit is acknowledged after the faults ended";
   if (violation && getenv ("TRACE"))
     for (int i = 0; i < INSTANCES; i++)
       printf ("%s alive %d primary %d paused %d term %llu received %llu, "
--- a/tests/world/failover.h
+++ b/tests/world/failover.h
@@ -1,6 +1,9 @@
 /**
- * DOC: A group of three instances, orders and a replicated state in virtual
- * time, around the real changes of primary.
+ * DOC: Simulation of the failover of one service.
+ *
+ * The real failover manager works on three simulated instances, a simulated
+ * promotion service and a simulated replicated log; time is virtual.  There
+ * is one simulation at a time.
  */
 #ifndef WORLD_FAILOVER_H
 #define WORLD_FAILOVER_H
@@ -8,46 +11,53 @@
 #include "../../src/process/failover.h"
 
 /**
- * wf_run_seed() - faults drawn from a seed, then a calm time
+ * wf_run_seed() - runs a simulation with random faults, then without any
+ *
+ * Prints the violated invariant, if any, and with TRACE in the environment
+ * also the state of the instances.
  *
- * Prints what failed.  Return: whether nothing did.
+ * Return: whether all invariants held.
  */
 bool wf_run_seed (uint64_t seed);
 
-/** wf_start() - a group whose first instance leads, one leader, no faults */
+/** wf_start() - starts a simulation with the first instance as primary and
+ * without faults */
 void wf_start (uint64_t seed);
 
-/** wf_end() - frees everything */
+/** wf_end() - ends the simulation and frees it */
 void wf_end (void);
 
 /** wf_run() - advances virtual time */
 void wf_run (int64_t us);
 
-/** wf_kill() - an instance stops */
+/** wf_kill() - stops an instance */
 void wf_kill (unsigned instance);
 
-/** wf_cut() - the leader and hosts reach an instance, or do not */
+/** wf_cut() - cuts an instance off from the control leader and the hosts, or
+ * reconnects it */
 void wf_cut (unsigned instance, bool cut);
 
-/** wf_suspect() - hosts cannot use an instance that the leader reaches */
+/** wf_suspect() - cuts an instance off from the hosts, but not from the
+ * control leader */
 void wf_suspect (unsigned instance);
 
-/** wf_primary() - the instance that leads, or -1 */
+/** wf_primary() - returns the index of the primary, or -1 */
 int wf_primary (void);
 
-/** wf_unregister() - an instance receives and has not announced itself yet */
+/** wf_unregister() - removes an instance from the replicated state, as if it
+ * replicated but had not announced itself yet */
 void wf_unregister (unsigned instance);
 
-/** wf_drain() - an instance announced that it leaves */
+/** wf_drain() - marks an instance as draining in the replicated state */
 void wf_drain (unsigned instance);
 
-/** wf_failover_count() - number of changes of primary so far */
+/** wf_failover_count() - returns the number of changes of primary */
 unsigned wf_failover_count (void);
 
-/** wf_violation() - a promise that was broken, or NULL */
+/** wf_violation() - returns the violated invariant, or NULL */
 const char *wf_violation (void);
 
-/** wf_state() - the replicated state */
+/** wf_state() - returns the replicated state */
 struct cfs_state *wf_state (void);
 
 #endif
--- a/tests/world/gate.c
+++ b/tests/world/gate.c
@@ -1,7 +1,8 @@
 /*
- * Messages to a frozen or cut-off part wait, as they do in TCP.  An
- * instance that leads has a log; replicas copy it with a lag and rewind to
- * the branch of a new term, as the platform's instances do.
+ * Messages to a suspended or unreachable process are delayed, as in TCP.
+ * Replicas copy the log of the primary with a lag.  When a new term begins,
+ * they truncate their log to where its branch starts, as the platform's
+ * instances do.
  */
 #include "gate.h"
 
@@ -9,6 +10,17 @@
 #include <stdlib.h>
 #include <string.h>
 
+/*
+ * EV_CONNECT: a connection request reaches the instance
+ * EV_CONNECTED: the host learns that the connection is open
+ * EV_EXECUTE: work reaches the instance
+ * EV_RESULT: its result reaches the host
+ * EV_PROBE: a probe reaches the instance
+ * EV_PROBED: its result reaches the host
+ * EV_PROMOTE: a promotion request reaches the instance
+ * EV_HEARTBEAT: the heartbeat of a host reaches the control group
+ * EV_HEARTBEAT_REPLY: its reply reaches the host
+ */
 enum event_kind
 {
   EV_CONNECT,
@@ -140,7 +152,7 @@
   return &w->client_sessions[w->client_session_count++];
 }
 
-/* A session takes over what an answer has shown it. */
+/* Updates the caller's session from the reply to its request. */
 static void
 advance_session (struct world_gate *w, struct wg_request *q)
 {
@@ -166,7 +178,7 @@
   struct wg_request *q = r->payload;
 
   if (q->answered)
-    record_violation (w, "answered twice", q->name);
+    record_violation (w, "request answered twice", q->name);
   q->answered = true;
   q->answered_at = w->now;
   q->code = v->code;
@@ -265,7 +277,8 @@
   update_instances (h);
 }
 
-/* Requests inside a dead host never get an answer from it. */
+/* The gate answers its requests as it is freed; these replies never reach the
+   callers, so the outcome is unknown to them. */
 void
 wg_host_kill (struct world_gate *w, unsigned i)
 {
@@ -328,7 +341,7 @@
   free (w);
 }
 
-/* The log of the history that an instance leads or follows. */
+/* Returns the index of the log entry with an idempotency key, or -1. */
 static int
 find_entry_by_key (const struct wg_instance *in, const char *key)
 {
@@ -352,7 +365,7 @@
   in->visible = in->log_count;
 }
 
-/* Runs work at an instance; returns how it ended. */
+/* Runs work at an instance. */
 static enum cfs_work_status
 execute (struct world_gate *w, struct wg_instance *in,
          struct wg_instance_conn *s, const struct wg_event *e)
@@ -363,10 +376,12 @@
 
   q->executed++;
   if (e->work <= WORK_BEGIN && *s->transaction)
-    record_violation (w, "work entered an open transaction", q->name);
+    record_violation (w, "a request ran inside an unrelated open transaction",
+                      q->name);
   if (e->work >= WORK_STATEMENT
       && strcmp (s->transaction, q->request.transaction) != 0)
-    record_violation (w, "a statement entered another transaction", q->name);
+    record_violation (w, "a statement ran inside another transaction",
+                      q->name);
   if (writes && !in->primary)
     return WORK_STATUS_ERROR;
   if (e->work == WORK_WRITE)
@@ -391,7 +406,8 @@
   return WORK_STATUS_OK;
 }
 
-/* What a read has seen must hold what its session was told before. */
+/* Checks that a read sees all writes that were acknowledged to its session
+   before the read was submitted. */
 static void
 check_read (struct world_gate *w, const struct wg_instance *in,
             const struct wg_request *q)
@@ -414,8 +430,9 @@
                     && strcmp (in->log[k].key, write->request.key) == 0);
       if (!found)
         trace_line (w,
-                    "%s misses %s of term %llu position %llu, visible %llu in "
-                    "term %llu, token %llu %llu",
+                    "read %s misses write %s at term %llu position %llu; the "
+                    "instance shows position %llu in term %llu, the session "
+                    "token has term %llu position %llu",
                     q->name, write->name, (unsigned long long)write->term,
                     (unsigned long long)write->position,
                     (unsigned long long)in->visible,
@@ -423,7 +440,8 @@
                     (unsigned long long)q->request.token_term,
                     (unsigned long long)q->request.token_position);
       if (!found)
-        record_violation (w, "a session does not read its own write", q->name);
+        record_violation (
+            w, "a read misses an acknowledged write of its session", q->name);
     }
 }
 
@@ -440,7 +458,7 @@
 
   if (!s->open || s->generation != e->generation)
     {
-      /* The instance was started anew: it resets the old connection. */
+      /* The instance has been restarted: it resets the old connection. */
       r = conn_event (h, EV_RESULT, e->conn, e->inst, w->rtt_us / 2);
       r->generation = e->generation;
       r->result.status = WORK_STATUS_NOT_RUN;
@@ -519,7 +537,7 @@
   on_probe (w, e);
 }
 
-/* The fake control group decides on a heartbeat of a host. */
+/* The simulated control group handles the heartbeat of a host. */
 static void
 on_heartbeat (struct world_gate *w, const struct wg_event *e)
 {
@@ -613,7 +631,8 @@
     }
 }
 
-/* 1: now; 0: later; -1: never. */
+/* Returns 1 if the event can happen now, 0 if it has to wait, -1 if it never
+   will.  Work that a host had sent before it was stopped is still executed. */
 static int
 event_readiness (const struct world_gate *w, const struct wg_event *e)
 {
@@ -656,7 +675,7 @@
     }
 }
 
-/* A replica copies the reachable leader of the highest term. */
+/* A replica copies the log of the reachable primary with the highest term. */
 static void
 replicate (struct world_gate *w, unsigned i)
 {
@@ -745,7 +764,7 @@
     serving += w->hosts[i].alive
                && cfs_gate_serving (w->hosts[i].gate, host_now (&w->hosts[i]));
   if (serving > 1)
-    record_violation (w, "two gates serve", "");
+    record_violation (w, "two gates serve at the same time", "");
 }
 
 void
@@ -900,21 +919,23 @@
 
   if (!q->answered)
     {
-      trace_line (w, "%s of kind %d sent at %lld ms, run %d times, no answer",
-                  q->name, (int)q->request.kind,
-                  (long long)q->submitted_at / 1000, q->executed);
-      record_violation (w, "never answered", q->name);
+      trace_line (
+          w, "no answer to %s (kind %d, sent at %lld ms, executed %d times)",
+          q->name, (int)q->request.kind, (long long)q->submitted_at / 1000,
+          q->executed);
+      record_violation (w, "request never answered", q->name);
     }
   if (q->request.send_once && q->sent > 1)
-    record_violation (w, "sent to a target more than once", q->name);
+    record_violation (w, "request that must be sent once was sent again",
+                      q->name);
   if (!write)
     return;
   if (n > 1)
-    record_violation (w, "booked twice", q->name);
+    record_violation (w, "write committed twice", q->name);
   if (q->outcome == CFS_DONE && n != 1)
-    record_violation (w, "an acknowledged write is missing", q->name);
+    record_violation (w, "acknowledged write missing in the log", q->name);
   if (q->outcome == CFS_NOT_RUN && !*q->request.key && n != 0)
-    record_violation (w, "said not run, but it was", q->name);
+    record_violation (w, "write reported as not run was committed", q->name);
 }
 
 const char *
@@ -926,7 +947,7 @@
     if (w->inst[i].primary && (!in || w->inst[i].term > in->term))
       in = &w->inst[i];
   if (!in)
-    record_violation (w, "no instance leads", "");
+    record_violation (w, "no instance is primary", "");
   for (int i = 0; in && i < w->request_count; i++)
     check_request (w, in, i);
   return *w->violation ? w->violation : NULL;
--- a/tests/world/limit.c
+++ b/tests/world/limit.c
@@ -1,7 +1,8 @@
 /*
- * Two ideal buckets judge the run: one drains with each admission and must
- * never run dry, the other drains with each arrival and says which requests
- * were within the rate.
+ * Two reference token buckets verify the run.  Each admitted request takes a
+ * token from the first, which must never be empty then.  Each arriving
+ * request takes a token from the second, which tells whether the request is
+ * within the rate.
  */
 #include "limit.h"
 
@@ -37,7 +38,7 @@
     }
 }
 
-/* Each host's admission has its own index as context. */
+/* Callback context of the admission of one host. */
 struct host_context
 {
   struct world_limit *world;
--- a/tests/world/seeds.c
+++ b/tests/world/seeds.c
@@ -1,5 +1,5 @@
 /*
- * The same loop for every random schedule.
+ * Runs a randomized test with many seeds.
  */
 #include "seeds.h"
 
--- a/tests/world/seeds.h
+++ b/tests/world/seeds.h
@@ -1,5 +1,5 @@
 /**
- * DOC: Runs a random schedule over many seeds.
+ * DOC: Runs a randomized test with many seeds.
  */
 #ifndef WORLD_SEEDS_H
 #define WORLD_SEEDS_H
@@ -8,11 +8,13 @@
 #include <stdint.h>
 
 /**
- * seeds_failed() - number of seeds whose run failed
- * @run: runs one seed, prints what failed, and says whether it held
+ * seeds_failed() - runs a test with the seeds 1 to 1000
+ * @run: runs one seed, prints any failure, and returns whether it passed
  *
- * SEED=n runs that one alone; CHECK_SHORT runs a tenth of all; STOP_FIRST
- * ends with the first that fails.
+ * Environment: SEED=n runs only that seed; CHECK_SHORT runs only the first
+ * tenth of the seeds; STOP_FIRST stops at the first failure.
+ *
+ * Return: number of seeds that failed.
  */
 uint64_t seeds_failed (bool (*run) (uint64_t seed));
 
--- a/tests/world/sessions.c
+++ b/tests/world/sessions.c
@@ -1,7 +1,8 @@
 /*
- * Statements arrive at an instance after a delay and run at once; the answer
- * comes after another.  A wire that was closed loses what has not arrived,
- * except that with faults a write or commit may still be carried out.
+ * Statements arrive at an instance after a delay and run at once; the reply
+ * arrives after another delay.  Statements that have not run when their
+ * connection is closed are lost.  With faults, one that has arrived may still
+ * run if it is a commit or outside a transaction.
  */
 #include "sessions.h"
 
@@ -14,6 +15,13 @@
 #define MAX_AGE_US (400 * CFS_US_PER_MS)
 #define TIMEOUT_US (300 * CFS_US_PER_MS)
 
+/*
+ * A statement sent on a connection.
+ * @after: position that the instance must have reached
+ * @arrives_at: time at which it runs
+ * @replies_at: time at which the reply arrives
+ * @reply_lost: the connection breaks instead of delivering the reply
+ */
 struct ws_queued_statement
 {
   enum cfs_verb verb;
@@ -29,6 +37,19 @@
   struct cfs_reply reply;
 };
 
+/*
+ * A connection to an instance.
+ * @team: team that the pool opened it for
+ * @dead: closed or broken, about to be freed
+ * @broken: not used
+ * @read_tx: the open transaction is read-only
+ * @tx_caller: caller of the last statement since the connection was opened or
+ * the transaction began, or -1
+ * @tx_op: operation of the last statement
+ * @tx_wrote: the open transaction has written
+ * @value: value set by VERB_SET, or ""
+ * @prepared: prepared statements as "name=text"
+ */
 struct ws_conn
 {
   struct cfs_target_conn base;
@@ -84,7 +105,7 @@
   return NULL;
 }
 
-/* Replicas receive the history of the primary with their lag. */
+/* Replicas receive the log of the primary with their lag. */
 static void
 replicate (struct world_sessions *w)
 {
@@ -105,7 +126,8 @@
     }
 }
 
-/* The primary acknowledges once one replica has the commit. */
+/* Commits at the primary and at the most advanced replica, which is enough for
+   an acknowledgement; fails if no replica is reachable. */
 static bool
 commit (struct world_sessions *w, struct ws_instance *p, unsigned id,
         unsigned op)
@@ -127,9 +149,10 @@
   w->ops[op].applied_count++;
   w->ops[op].history_position = w->length;
   if (w->ops[op].applied_count > 1)
-    record_violation (w, "a write took effect twice");
+    record_violation (w, "a write was applied twice");
   if (w->ops[op].reported_not_applied)
-    record_violation (w, "a write took effect after a promise");
+    record_violation (
+        w, "a write was applied after it was reported as not applied");
   return true;
 }
 
@@ -152,7 +175,7 @@
   best->term = old->term + 1;
   w->term_start = best->received;
   if (w->length > best->received)
-    record_violation (w, "the world lost an acknowledged commit");
+    record_violation (w, "the simulated failover lost an acknowledged commit");
   w->directory_update_at
       = w->now + (int64_t)random_below (w, 200) * CFS_US_PER_MS;
   for (struct ws_conn *conn = w->conns; conn; conn = conn->next)
@@ -184,7 +207,8 @@
   return p;
 }
 
-/* Whether a read at this point sees all that it must. */
+/* Checks that a read which runs now sees all commits that its consistency
+   demands. */
 static void
 check_read_freshness (struct world_sessions *w, const struct ws_conn *conn,
                       const struct ws_caller *c)
@@ -199,11 +223,11 @@
       const struct ws_commit *h = &w->history[n];
 
       if (h->acked_at < bound)
-        record_violation (w, "a read was stale");
+        record_violation (w, "a read was older than its consistency allows");
       if (route->consistency == CONSISTENCY_OWN
           && w->statements[h->id].caller == c->index
           && w->ops[w->statements[h->id].op].succeeded && n < c->own_commit)
-        record_violation (w, "a session did not see its own commit");
+        record_violation (w, "a read missed a commit of its session");
     }
 }
 
@@ -220,7 +244,7 @@
   return false;
 }
 
-/* What must hold for each statement of a caller that runs. */
+/* Checks the connection on which a caller's statement runs. */
 static void
 check_statement (struct world_sessions *w, struct ws_conn *conn,
                  struct ws_queued_statement *s)
@@ -231,7 +255,7 @@
 
   snprintf (team, sizeof team, "team%u", id->caller % 2);
   if (strcmp (team, conn->team) != 0)
-    record_violation (w, "a statement ran for another team");
+    record_violation (w, "a statement ran on a connection of another team");
   if (c->id != s->id)
     return;
   if (conn->state == TX_OPEN && conn->tx_caller >= 0
@@ -240,10 +264,10 @@
   if (c->in_tx && conn->state != TX_OPEN)
     record_violation (w, "a statement ran outside its transaction");
   if (strcmp (c->value, conn->value) != 0)
-    record_violation (w, "a statement ran with other values");
+    record_violation (w, "a statement ran with other session variables");
   if (s->verb == VERB_EXECUTE
       && !has_prepared (conn, s->name, c->prepared_text))
-    record_violation (w, "a prepared name stood for another shape");
+    record_violation (w, "a prepared name referred to another statement");
   conn->tx_caller = (int)id->caller;
 }
 
@@ -272,7 +296,7 @@
   if (!writes)
     check_read_freshness (w, conn, c);
   if (++id->run_count > 1 && writes && conn->state == TX_IDLE)
-    record_violation (w, "a single write ran twice");
+    record_violation (w, "a write outside a transaction ran twice");
   if (writes && conn->state == TX_OPEN)
     conn->tx_wrote = true;
   else if (writes && !commit (w, conn->at, s->id, id->op))
@@ -289,11 +313,11 @@
   enum cfs_reply_code code = REPLY_OK;
 
   if (!w->ops[id->op].commit_requested)
-    record_violation (w, "a commit ran that nobody asked for");
+    record_violation (w, "a commit ran that no caller requested");
   if (conn->state != TX_OPEN)
     code = REPLY_NOT_PRIMARY;
   else if (conn->tx_wrote && conn->tx_op != id->op)
-    record_violation (w, "a commit ended another transaction");
+    record_violation (w, "a commit was applied to another transaction");
   else if (conn->tx_wrote && !commit (w, conn->at, s->id, id->op))
     code = REPLY_FAILED;
   conn->state = TX_IDLE;
@@ -425,10 +449,11 @@
 fail_conn (struct ws_conn *conn)
 {
   conn->dead = true;
-  conn->events->lost (conn->owner, "scripted");
+  conn->events->lost (conn->owner, "simulated connection failure");
 }
 
-/* Orders that were on their way when the wire was closed. */
+/* Runs statements that had arrived but not run when the connection was
+   closed, each with probability 1/3. */
 static void
 run_in_flight (struct world_sessions *w, struct ws_conn *conn)
 {
@@ -523,21 +548,21 @@
                   || c->verb == VERB_EXECUTE || c->verb == VERB_COMMIT;
 
       if (work && !r->proof)
-        record_violation (w, "a success without proof");
+        record_violation (w, "a success without proof of execution");
       w->served += work;
     }
   if (guarantees_not_applied (r->code))
     {
       op->reported_not_applied = true;
       if (op->applied_count)
-        record_violation (w, "a promise after a write took effect");
+        record_violation (w, "an applied write was reported as not applied");
     }
   if (r->code == REPLY_OK
       && (c->verb == VERB_COMMIT || (!c->in_tx && c->verb == VERB_WRITE)))
     {
       op->succeeded = true;
       if (c->verb == VERB_WRITE && !op->applied_count)
-        record_violation (w, "a success without an effect");
+        record_violation (w, "a write succeeded without being applied");
       if (op->applied_count)
         c->own_commit = op->history_position;
     }
@@ -565,7 +590,7 @@
 {
   (void)code;
   record_violation (((struct ws_caller *)base)->world,
-                    "a session had to wait");
+                    "the admission of a session was deferred");
 }
 
 static const struct cfs_caller_ops caller_ops
@@ -684,7 +709,7 @@
     send_next (c);
 }
 
-/* Another host's caller commits at the primary. */
+/* A caller of another host commits at the primary. */
 static void
 commit_from_other_host (struct world_sessions *w)
 {
@@ -860,10 +885,10 @@
   if (w->violation)
     return w->violation;
   if (w->served < 50)
-    return "hardly anything was served";
+    return "fewer than 50 statements succeeded";
   for (unsigned i = 1; i <= w->op_count; i++)
     if (w->ops[i].reported_not_applied && w->ops[i].applied_count)
-      return "a promise was not kept";
+      return "an operation reported as not applied was applied";
   return NULL;
 }
 
--- a/tests/world/sessions.h
+++ b/tests/world/sessions.h
@@ -1,10 +1,11 @@
 /**
- * DOC: Sessions, links and a group of three instances in virtual time.
+ * DOC: Simulation of sessions on a group of three instances.
  *
- * The real session and pool modules between scripted callers and instances
- * that keep a log with terms, one synchronous replica, values, prepared
- * names and transactions.  Faults are drawn from a seed.  Every statement
- * that an instance runs and every reply that a caller gets is checked.
+ * The real session and pool modules run between simulated callers and
+ * simulated instances, in virtual time.  The instances have a log with terms,
+ * one synchronous replica, session variables, prepared statements and
+ * transactions.  Faults are random.  Every statement that an instance runs
+ * and every reply that a caller gets is checked.
  */
 #ifndef WORLD_SESSIONS_H
 #define WORLD_SESSIONS_H
@@ -16,7 +17,11 @@
 #define WS_STATEMENTS_MAX 8192
 #define WS_COMMITS 4096
 
-/** struct ws_commit - one commit of the group's history */
+/**
+ * struct ws_commit - one commit in the log of the group
+ * @id: statement that committed it
+ * @gone: not used
+ */
 struct ws_commit
 {
   unsigned id;
@@ -24,7 +29,11 @@
   bool gone;
 };
 
-/** struct ws_instance - one instance; its log is a length of the history */
+/**
+ * struct ws_instance - one instance
+ * @received: number of commits of the group's log that it has
+ * @replication_cut_until: time until which it receives nothing
+ */
 struct ws_instance
 {
   char name[16];
@@ -36,7 +45,12 @@
   int64_t replication_cut_until;
 };
 
-/** struct ws_statement_info - what is known of one statement of a caller */
+/**
+ * struct ws_statement_info - one statement of a caller, by its id
+ * @op: operation that it belongs to
+ * @sent: not used
+ * @run_count: number of times that an instance ran it
+ */
 struct ws_statement_info
 {
   unsigned caller;
@@ -45,7 +59,15 @@
   unsigned run_count;
 };
 
-/** struct ws_op - one operation; its writes take effect together */
+/**
+ * struct ws_op - one operation: a statement or a whole transaction
+ * @applied_count: number of times that its writes were committed
+ * @history_position: position of its last commit in the group's log
+ * @reported_not_applied: the caller got a reply code which guarantees that
+ * the operation had no effect
+ * @succeeded: the caller was told that it succeeded
+ * @commit_requested: the caller sent a commit
+ */
 struct ws_op
 {
   unsigned applied_count;
@@ -55,7 +77,21 @@
   bool commit_requested;
 };
 
-/** struct ws_caller - a scripted caller */
+/**
+ * struct ws_caller - a simulated caller
+ * @waiting: a statement was sent and not answered yet
+ * @in_tx: in a transaction
+ * @reads_only: the transaction is read-only
+ * @op: current operation
+ * @id: last statement
+ * @verb: verb of the last statement
+ * @began_at: time at which the statement or transaction began
+ * @statements_left: statements to send before the transaction ends
+ * @value: value set by the last VERB_SET, or ""
+ * @prepared_text: text that the statement "p" was last prepared with, or ""
+ * @prepared_writes: the prepared statement writes
+ * @own_commit: log position of its last successful commit
+ */
 struct ws_caller
 {
   struct cfs_caller base;
@@ -77,7 +113,19 @@
   uint64_t own_commit;
 };
 
-/** struct world_sessions - everything */
+/**
+ * struct world_sessions - the whole simulation
+ * @seed: state of the random generator
+ * @history: log of the group, of @length commits
+ * @term_start: length of the log as the current term began
+ * @statements: by statement id; id 0 stands for callers of other hosts
+ * @ops: by operation number; 0 stands for callers of other hosts
+ * @faults: random faults occur
+ * @directory_update_at: time at which the fleet directory gets the result of
+ * the last failover, or 0
+ * @served: reads, writes, executes and commits that succeeded
+ * @violation: first violated invariant, or NULL
+ */
 struct world_sessions
 {
   int64_t now;
@@ -104,20 +152,25 @@
   const char *violation;
 };
 
-/** ws_new() - a group whose first instance leads, and idle callers */
+/**
+ * ws_new() - a group whose first instance is primary, and idle callers
+ * @kind: consistency of all reads
+ * @faults: random faults occur
+ */
 struct world_sessions *ws_new (uint64_t seed, enum cfs_consistency kind,
                                bool faults);
 
-/** ws_free() - ends sessions and frees everything */
+/** ws_free() - closes the sessions and frees everything */
 void ws_free (struct world_sessions *w);
 
 /** ws_run() - advances virtual time */
 void ws_run (struct world_sessions *w, int64_t us);
 
-/** ws_change_primary() - the longest replica leads the next term */
+/** ws_change_primary() - makes the replica with the longest log primary */
 void ws_change_primary (struct world_sessions *w);
 
-/** ws_check_end() - what holds once nothing is under way, or NULL */
+/** ws_check_end() - checks the finished run; returns the violated invariant,
+ * or NULL */
 const char *ws_check_end (struct world_sessions *w);
 
 #endif
