--- a/tests/world/failover.c
+++ b/tests/world/failover.c
@@ -51,7 +51,7 @@
 {
   struct cfs_target_conn base;
   struct fake_conn *next;
-  struct instance *at;
+  struct instance *instance;
   unsigned boot;
   const struct cfs_target_conn_events *events;
   void *owner;
@@ -156,7 +156,7 @@
 static void
 run_statement (struct fake_conn *conn)
 {
-  struct instance *in = conn->at;
+  struct instance *in = conn->instance;
   struct cfs_reply *r = &conn->reply;
 
   memset (r, 0, sizeof *r);
@@ -218,8 +218,8 @@
 {
   struct fake_conn *conn = (struct fake_conn *)base;
 
-  if (conn->statement_pending && conn->at->alive && !conn->at->cut
-      && conn->boot == conn->at->boot)
+  if (conn->statement_pending && conn->instance->alive && !conn->instance->cut
+      && conn->boot == conn->instance->boot)
     run_statement (conn);
   conn->dead = true;
 }
@@ -236,8 +236,8 @@
   conn->base.ops = &conn_ops;
   for (int i = 0; i < INSTANCES; i++)
     if (strcmp (world->instances[i].name, setup->target) == 0)
-      conn->at = &world->instances[i];
-  conn->boot = conn->at->boot;
+      conn->instance = &world->instances[i];
+  conn->boot = conn->instance->boot;
   conn->events = setup->events;
   conn->owner = setup->owner;
   conn->due = world->now + 20 * CFS_US_PER_MS;
@@ -249,9 +249,9 @@
 static void
 step_conn (struct fake_conn *conn)
 {
-  if (conn->dead || conn->at->cut || world->now < conn->due)
+  if (conn->dead || conn->instance->cut || world->now < conn->due)
     return;
-  if (!conn->at->alive || conn->boot != conn->at->boot)
+  if (!conn->instance->alive || conn->boot != conn->instance->boot)
     {
       conn->dead = true;
       conn->events->lost (conn->owner, "simulated connection failure");
@@ -260,8 +260,8 @@
     {
       struct cfs_reply hello = { .code = REPLY_OK };
 
-      hello.position.term = conn->at->term;
-      hello.position.number = conn->at->received;
+      hello.position.term = conn->instance->term;
+      hello.position.number = conn->instance->received;
       conn->open = true;
       conn->events->opened (conn->owner, &hello);
     }
@@ -276,18 +276,18 @@
 static void
 free_dead_conns (void)
 {
-  struct fake_conn **at = &world->conns;
+  struct fake_conn **next = &world->conns;
 
-  while (*at)
+  while (*next)
     {
-      struct fake_conn *conn = *at;
+      struct fake_conn *conn = *next;
 
       if (!conn->dead)
         {
-          at = &conn->next;
+          next = &conn->next;
           continue;
         }
-      *at = conn->next;
+      *next = conn->next;
       free (conn);
     }
 }
@@ -346,7 +346,7 @@
 }
 
 static size_t
-suspected (void *ctx, const char *target, size_t *hosts)
+suspecting_hosts (void *ctx, const char *target, size_t *hosts)
 {
   const struct instance *in = &world->instances[target[1] - '1'];
 
@@ -356,7 +356,7 @@
 }
 
 static const struct cfs_failover_ops ops
-    = { propose, request_promotion, suspected };
+    = { propose, request_promotion, suspecting_hosts };
 
 static void
 become_primary (int i)
--- a/tests/world/gate.c
+++ b/tests/world/gate.c
@@ -354,14 +354,14 @@
 static void
 commit_write (struct world_gate *w, struct wg_instance *in, int request)
 {
-  struct wg_log_entry *op = &in->log[in->log_count++];
+  struct wg_log_entry *entry = &in->log[in->log_count++];
 
   if (in->log_count == WG_LOG_MAX)
     abort ();
-  op->request = request;
-  cfs_copy (op->key, sizeof op->key, w->requests[request].request.key);
-  op->term = in->term;
-  op->at = w->now;
+  entry->request = request;
+  cfs_copy (entry->key, sizeof entry->key, w->requests[request].request.key);
+  entry->term = in->term;
+  entry->at = w->now;
   in->visible = in->log_count;
 }
 
--- a/tests/world/sessions.c
+++ b/tests/world/sessions.c
@@ -55,7 +55,7 @@
   struct cfs_target_conn base;
   struct world_sessions *world;
   struct ws_conn *next;
-  struct ws_instance *at;
+  struct ws_instance *instance;
   const struct cfs_target_conn_events *events;
   void *owner;
   char team[CFS_NAME_MAX];
@@ -179,7 +179,7 @@
   w->directory_update_at
       = w->now + (int64_t)random_below (w, 200) * CFS_US_PER_MS;
   for (struct ws_conn *conn = w->conns; conn; conn = conn->next)
-    if (conn->at == old && !conn->read_tx && conn->state != TX_IDLE)
+    if (conn->instance == old && !conn->read_tx && conn->state != TX_IDLE)
       conn->state = TX_FAILED;
 }
 
@@ -218,7 +218,7 @@
 
   if (route->consistency != CONSISTENCY_LATEST)
     bound -= route->max_age_us;
-  for (uint64_t n = conn->at->received; n < w->length; n++)
+  for (uint64_t n = conn->instance->received; n < w->length; n++)
     {
       const struct ws_commit *h = &w->history[n];
 
@@ -249,17 +249,17 @@
 check_statement (struct world_sessions *w, struct ws_conn *conn,
                  struct ws_queued_statement *s)
 {
-  struct ws_statement_info *id = &w->statements[s->id];
-  struct ws_caller *c = &w->callers[id->caller];
+  struct ws_statement_info *info = &w->statements[s->id];
+  struct ws_caller *c = &w->callers[info->caller];
   char team[16];
 
-  snprintf (team, sizeof team, "team%u", id->caller % 2);
+  snprintf (team, sizeof team, "team%u", info->caller % 2);
   if (strcmp (team, conn->team) != 0)
     record_violation (w, "a statement ran on a connection of another team");
   if (c->id != s->id)
     return;
   if (conn->state == TX_OPEN && conn->tx_caller >= 0
-      && conn->tx_caller != (int)id->caller)
+      && conn->tx_caller != (int)info->caller)
     record_violation (w, "a statement ran in another caller's transaction");
   if (c->in_tx && conn->state != TX_OPEN)
     record_violation (w, "a statement ran outside its transaction");
@@ -268,15 +268,15 @@
   if (s->verb == VERB_EXECUTE
       && !has_prepared (conn, s->name, c->prepared_text))
     record_violation (w, "a prepared name referred to another statement");
-  conn->tx_caller = (int)id->caller;
+  conn->tx_caller = (int)info->caller;
 }
 
 static enum cfs_reply_code
 run_query (struct world_sessions *w, struct ws_conn *conn,
            struct ws_queued_statement *s)
 {
-  struct ws_statement_info *id = &w->statements[s->id];
-  struct ws_caller *c = &w->callers[id->caller];
+  struct ws_statement_info *info = &w->statements[s->id];
+  struct ws_caller *c = &w->callers[info->caller];
   bool writes
       = s->verb == VERB_WRITE || (s->verb == VERB_EXECUTE && s->writes);
 
@@ -284,24 +284,25 @@
     return REPLY_NOT_PRIMARY;
   if (s->after.term)
     {
-      struct cfs_position have = position_of (conn->at);
+      struct cfs_position have = position_of (conn->instance);
 
       if (cfs_position_compare (&have, &s->after) < 0)
         return REPLY_BEHIND;
     }
   if (writes
-      && (!conn->at->primary || (conn->state == TX_OPEN && conn->read_tx)))
+      && (!conn->instance->primary
+          || (conn->state == TX_OPEN && conn->read_tx)))
     return REPLY_NOT_PRIMARY;
   check_statement (w, conn, s);
   if (!writes)
     check_read_freshness (w, conn, c);
-  if (++id->run_count > 1 && writes && conn->state == TX_IDLE)
+  if (++info->run_count > 1 && writes && conn->state == TX_IDLE)
     record_violation (w, "a write outside a transaction ran twice");
   if (writes && conn->state == TX_OPEN)
     conn->tx_wrote = true;
-  else if (writes && !commit (w, conn->at, s->id, id->op))
+  else if (writes && !commit (w, conn->instance, s->id, info->op))
     return REPLY_FAILED;
-  conn->tx_op = id->op;
+  conn->tx_op = info->op;
   return REPLY_OK;
 }
 
@@ -309,16 +310,16 @@
 run_commit (struct world_sessions *w, struct ws_conn *conn,
             struct ws_queued_statement *s)
 {
-  struct ws_statement_info *id = &w->statements[s->id];
+  struct ws_statement_info *info = &w->statements[s->id];
   enum cfs_reply_code code = REPLY_OK;
 
-  if (!w->ops[id->op].commit_requested)
+  if (!w->ops[info->op].commit_requested)
     record_violation (w, "a commit ran that no caller requested");
   if (conn->state != TX_OPEN)
     code = REPLY_NOT_PRIMARY;
-  else if (conn->tx_wrote && conn->tx_op != id->op)
+  else if (conn->tx_wrote && conn->tx_op != info->op)
     record_violation (w, "a commit was applied to another transaction");
-  else if (conn->tx_wrote && !commit (w, conn->at, s->id, id->op))
+  else if (conn->tx_wrote && !commit (w, conn->instance, s->id, info->op))
     code = REPLY_FAILED;
   conn->state = TX_IDLE;
   return code;
@@ -327,9 +328,9 @@
 static enum cfs_reply_code
 run_begin (struct ws_conn *conn, const struct ws_queued_statement *s)
 {
-  struct cfs_position have = position_of (conn->at);
+  struct cfs_position have = position_of (conn->instance);
 
-  if (s->verb == VERB_BEGIN && !conn->at->primary)
+  if (s->verb == VERB_BEGIN && !conn->instance->primary)
     return REPLY_NOT_PRIMARY;
   if (s->after.term && cfs_position_compare (&have, &s->after) < 0)
     return REPLY_BEHIND;
@@ -378,7 +379,7 @@
   memset (&s->reply, 0, sizeof s->reply);
   s->reply.code = code;
   s->reply.state = conn->state;
-  s->reply.position = position_of (conn->at);
+  s->reply.position = position_of (conn->instance);
   s->reply.rows = "";
   if (s->id && code == REPLY_OK)
     s->reply.proof = "proof";
@@ -434,7 +435,7 @@
   conn->world = w;
   for (unsigned i = 0; i < WS_INSTANCES; i++)
     if (strcmp (w->instances[i].name, setup->target) == 0)
-      conn->at = &w->instances[i];
+      conn->instance = &w->instances[i];
   conn->events = setup->events;
   conn->owner = setup->owner;
   cfs_copy (conn->team, sizeof conn->team, setup->team);
@@ -471,7 +472,7 @@
 static void
 step_conn (struct world_sessions *w, struct ws_conn *conn)
 {
-  if (!conn->at->alive)
+  if (!conn->instance->alive)
     {
       if (w->now - conn->opens_at > 20 * CFS_US_PER_MS)
         fail_conn (conn);
@@ -479,7 +480,7 @@
     }
   if (!conn->open && w->now >= conn->opens_at)
     {
-      struct cfs_reply hello = { .position = position_of (conn->at) };
+      struct cfs_reply hello = { .position = position_of (conn->instance) };
 
       conn->open = true;
       conn->events->opened (conn->owner, &hello);
@@ -507,19 +508,19 @@
 static void
 free_dead_conns (struct world_sessions *w)
 {
-  struct ws_conn **at = &w->conns;
+  struct ws_conn **next = &w->conns;
 
-  while (*at)
+  while (*next)
     {
-      struct ws_conn *conn = *at;
+      struct ws_conn *conn = *next;
 
       if (!conn->dead)
         {
-          at = &conn->next;
+          next = &conn->next;
           continue;
         }
       run_in_flight (w, conn);
-      *at = conn->next;
+      *next = conn->next;
       free (conn);
     }
 }
