--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -18,8 +18,8 @@
 #define GROUPS_PER_HOST 2.4
 #define INSTANCES 3
 #define TEAMS 64
-#define NODE_BYTES_PER_S 17000
-#define ROUNDS 20
+#define HOST_BYTES_PER_S_MAX 17000
+#define INTERVALS 20
 
 /* A fleet of stand-ins around one leader whose log applies at once. */
 struct fleet
@@ -38,7 +38,7 @@
 };
 
 static uint64_t
-propose (void *ctx, const uint8_t *data, size_t len)
+append_and_apply (void *ctx, const uint8_t *data, size_t len)
 {
   struct fleet *f = ctx;
 
@@ -49,10 +49,10 @@
   return f->index;
 }
 
-static const struct cfs_leader_ops ops = { propose };
+static const struct cfs_leader_ops ops = { append_and_apply };
 
 static double
-cpu_us (void)
+process_cpu_us (void)
 {
   struct timespec t;
 
@@ -61,7 +61,7 @@
 }
 
 static void
-patch (struct fleet *f, const char *text)
+apply_patch (struct fleet *f, const char *text)
 {
   Cfs__Command c = CFS__COMMAND__INIT;
   Cfs__Patch p = CFS__PATCH__INIT;
@@ -75,15 +75,15 @@
   p.who = "bench";
   c.body_case = CFS__COMMAND__BODY_PATCH;
   c.patch = &p;
-  propose (f, data, cfs__command__pack (&c, data));
+  append_and_apply (f, data, cfs__command__pack (&c, data));
 }
 
 /* One heartbeat with its reply.  Returns the bytes of both. */
 static size_t
-beat (struct fleet *f, unsigned host, bool announce)
+exchange_heartbeat (struct fleet *f, unsigned host, bool announce)
 {
   Cfs__Heartbeat h = CFS__HEARTBEAT__INIT;
-  Cfs__Instance rows[16];
+  Cfs__Instance instances[16];
   Cfs__Instance *list[16];
   char names[16][3][24];
   char name[24];
@@ -105,20 +105,20 @@
       {
         unsigned n = (unsigned)h.n_instances++;
 
-        cfs__instance__init (&rows[n]);
+        cfs__instance__init (&instances[n]);
         snprintf (names[n][0], 24, "inst-%04u-%u", g, k);
         snprintf (names[n][1], 24, "group-%04u", g);
         snprintf (names[n][2], 24, "zone-%u", k);
-        rows[n].name = names[n][0];
-        rows[n].group = names[n][1];
-        rows[n].zone = names[n][2];
-        rows[n].address = "10.0.0.2";
-        rows[n].port = 5432;
-        rows[n].slots = 5;
-        rows[n].connections = 35;
-        rows[n].term = 1;
-        rows[n].primary = k == 0;
-        list[n] = &rows[n];
+        instances[n].name = names[n][0];
+        instances[n].group = names[n][1];
+        instances[n].zone = names[n][2];
+        instances[n].address = "10.0.0.2";
+        instances[n].port = 5432;
+        instances[n].slots = 5;
+        instances[n].connections = 35;
+        instances[n].term = 1;
+        instances[n].primary = k == 0;
+        list[n] = &instances[n];
       }
   r = cfs_leader_heartbeat (f->leader, &h, f->now);
   f->version[host] = r->version;
@@ -129,7 +129,7 @@
 
 /* One interval in which every living host sends a heartbeat. */
 static size_t
-round_of (struct fleet *f, bool announce)
+run_heartbeat_interval (struct fleet *f, bool announce)
 {
   size_t bytes = 0;
 
@@ -137,7 +137,7 @@
     {
       f->now += HEARTBEAT_US / f->hosts;
       if (!f->dead[i])
-        bytes += beat (f, i, announce);
+        bytes += exchange_heartbeat (f, i, announce);
       if (i % (f->hosts / 3 + 1) == 0)
         cfs_leader_tick (f->leader, true, f->index, f->now);
     }
@@ -160,10 +160,10 @@
     {
       snprintf (text, sizeof text,
                 "{\"teams\":{\"team-%d\":{\"rate\":100,\"burst\":50}}}", t);
-      patch (f, text);
+      apply_patch (f, text);
     }
   for (int i = 0; i < 40; i++)
-    round_of (f, true);
+    run_heartbeat_interval (f, true);
   return f;
 }
 
@@ -176,8 +176,8 @@
 }
 
 static void
-say (struct bench *b, unsigned hosts, const char *what, double value,
-     const char *unit)
+report_for_size (struct bench *b, unsigned hosts, const char *what,
+                 double value, const char *unit)
 {
   char figure[96];
 
@@ -187,37 +187,38 @@
 
 /* A third of the hosts, a zone, is lost at once. */
 static void
-lose_zone (struct bench *b, struct fleet *f)
+fail_zone (struct bench *b, struct fleet *f)
 {
   uint64_t proposals = f->proposals;
   uint64_t bytes = f->proposed_bytes;
   int64_t start = f->now;
   size_t sent = 0;
-  unsigned moved;
+  unsigned leases_moved;
 
   for (unsigned i = 0; i < f->hosts; i += 3)
     f->dead[i] = true;
   do
     {
-      sent += round_of (f, false);
-      moved = 0;
+      sent += run_heartbeat_interval (f, false);
+      leases_moved = 0;
       for (size_t i = 0; i < f->state.leases.count; i++)
         {
           const struct cfs_lease *l = cfs_table_at (&f->state.leases, i);
 
-          moved += !f->dead[strtoul (l->holder + 5, NULL, 10)];
+          leases_moved += !f->dead[strtoul (l->holder + 5, NULL, 10)];
         }
     }
-  while (moved < f->state.leases.count && f->now < start + 20 * CFS_US_PER_S);
-  sent += round_of (f, false);
-  say (b, f->hosts, "zone lost, until all leases moved",
-       (double)(f->now - start) / CFS_US_PER_MS, "ms");
-  say (b, f->hosts, "zone lost, log entries",
-       (double)(f->proposals - proposals), "");
-  say (b, f->hosts, "zone lost, log bytes",
-       (double)(f->proposed_bytes - bytes), "bytes");
-  say (b, f->hosts, "zone lost, sent by the leader meanwhile",
-       (double)sent / 1e6, "MB");
+  while (leases_moved < f->state.leases.count
+         && f->now < start + 20 * CFS_US_PER_S);
+  sent += run_heartbeat_interval (f, false);
+  report_for_size (b, f->hosts, "zone lost, until all leases moved",
+                   (double)(f->now - start) / CFS_US_PER_MS, "ms");
+  report_for_size (b, f->hosts, "zone lost, log entries",
+                   (double)(f->proposals - proposals), "");
+  report_for_size (b, f->hosts, "zone lost, log bytes",
+                   (double)(f->proposed_bytes - bytes), "bytes");
+  report_for_size (b, f->hosts, "zone lost, sent by the leader meanwhile",
+                   (double)sent / 1e6, "MB");
 }
 
 static void
@@ -226,36 +227,40 @@
   size_t before = mallinfo2 ().uordblks;
   struct fleet *f = new_fleet (hosts);
   double memory = (double)(mallinfo2 ().uordblks - before);
-  uint8_t *image;
+  uint8_t *snapshot;
   size_t bytes = 0;
-  size_t changed;
-  double cpu;
-  double beats = (double)ROUNDS * hosts;
+  size_t bytes_with_change;
+  double cpu_time_us;
+  double heartbeats = (double)INTERVALS * hosts;
   double per_s = (double)CFS_US_PER_S / HEARTBEAT_US;
 
-  cpu = cpu_us ();
-  for (int i = 0; i < ROUNDS; i++)
-    bytes += round_of (f, false);
-  cpu = cpu_us () - cpu;
-  say (b, hosts, "leader's time a heartbeat", cpu / beats, "us");
-  say (b, hosts, "leader's share of a core", cpu / beats * hosts * per_s / 1e4,
-       "%");
-  say (b, hosts, "memory of state and leader", memory / 1e6, "MB");
-  say (b, hosts, "snapshot",
-       (double)cfs_state_serialize (&f->state, &image) / 1e3, "kB");
-  free (image);
+  cpu_time_us = process_cpu_us ();
+  for (int i = 0; i < INTERVALS; i++)
+    bytes += run_heartbeat_interval (f, false);
+  cpu_time_us = process_cpu_us () - cpu_time_us;
+  report_for_size (b, hosts, "leader's time a heartbeat",
+                   cpu_time_us / heartbeats, "us");
+  report_for_size (b, hosts, "leader's share of a core",
+                   cpu_time_us / heartbeats * hosts * per_s / 1e4, "%");
+  report_for_size (b, hosts, "memory of state and leader", memory / 1e6, "MB");
+  report_for_size (b, hosts, "snapshot",
+                   (double)cfs_state_serialize (&f->state, &snapshot) / 1e3,
+                   "kB");
+  free (snapshot);
   if (hosts == HOSTS_MAX)
     bench_at_most (b, "400 hosts: control bytes a node",
-                   (double)bytes / beats * per_s, "bytes/s", NODE_BYTES_PER_S);
+                   (double)bytes / heartbeats * per_s, "bytes/s",
+                   HOST_BYTES_PER_S_MAX);
   f->directory[0] = 0;
   f->version[0] = 0;
-  say (b, hosts, "first reply to a host that starts",
-       (double)beat (f, 0, false) / 1e3, "kB");
-  patch (f, "{\"teams\":{\"team-1\":{\"rate\":120}}}");
-  changed = beat (f, 1, false);
-  say (b, hosts, "a change of configuration, bytes a host",
-       (double)(changed - beat (f, 1, false)), "bytes");
-  lose_zone (b, f);
+  report_for_size (b, hosts, "first reply to a host that starts",
+                   (double)exchange_heartbeat (f, 0, false) / 1e3, "kB");
+  apply_patch (f, "{\"teams\":{\"team-1\":{\"rate\":120}}}");
+  bytes_with_change = exchange_heartbeat (f, 1, false);
+  report_for_size (
+      b, hosts, "a change of configuration, bytes a host",
+      (double)(bytes_with_change - exchange_heartbeat (f, 1, false)), "bytes");
+  fail_zone (b, f);
   free_fleet (f);
 }
 
@@ -267,5 +272,5 @@
 
   for (size_t i = 0; i < sizeof sizes / sizeof sizes[0]; i++)
     measure (&b, sizes[i]);
-  return b.missed != 0;
+  return b.missed_bounds != 0;
 }
--- a/bench/bench_failover.c
+++ b/bench/bench_failover.c
@@ -10,7 +10,7 @@
 #include <stdlib.h>
 
 #define RUNS 200
-#define PERIOD_US (20 * CFS_US_PER_MS)
+#define REQUEST_PERIOD_US (20 * CFS_US_PER_MS)
 
 /* Time from the death of the control leader until every member host has a
    renewed lease from the next one. */
@@ -18,26 +18,26 @@
 control_gap_us (uint64_t seed)
 {
   struct world_control *w = wc_new (seed);
-  int64_t died;
-  int64_t next = 0;
+  int64_t crashed_at;
+  int64_t renewed_at = 0;
 
   wc_run (w, 3 * CFS_US_PER_S + (int64_t)(seed % 300) * CFS_US_PER_MS);
-  died = w->now;
+  crashed_at = w->now;
   wc_crash (w, (unsigned)wc_find_leader (w));
-  while (next < died && w->now < died + 10 * CFS_US_PER_S)
+  while (renewed_at < crashed_at && w->now < crashed_at + 10 * CFS_US_PER_S)
     {
       wc_run (w, WC_STEP_US);
-      next = w->now;
+      renewed_at = w->now;
       for (unsigned i = 0; i < WC_AGENTS; i++)
-        if (w->agents[i].lease_until - LEASE_US < died)
-          next = 0;
+        if (w->agents[i].lease_until - LEASE_US < crashed_at)
+          renewed_at = 0;
     }
   wc_free (w);
-  return (double)(next - died);
+  return (double)(renewed_at - crashed_at);
 }
 
 static void
-submit (struct world_gate *w)
+submit_write_and_read (struct world_gate *w)
 {
   wg_submit (w, "w", CFS_WRITE, "", "", false, "", 9 * CFS_US_PER_S, 0);
   wg_submit (w, "r", CFS_READ, "", "", false, "", 2 * CFS_US_PER_S,
@@ -48,7 +48,7 @@
 static double
 read_gap_us (const struct world_gate *w, int64_t start)
 {
-  int64_t last = start;
+  int64_t last_answer = start;
   int64_t gap = 0;
 
   for (int i = 0; i < w->request_count; i++)
@@ -57,10 +57,10 @@
 
       if (!q->read || q->outcome != CFS_DONE || q->answered_at < start)
         continue;
-      if (q->answered_at - last > gap)
-        gap = q->answered_at - last;
-      if (q->answered_at > last)
-        last = q->answered_at;
+      if (q->answered_at - last_answer > gap)
+        gap = q->answered_at - last_answer;
+      if (q->answered_at > last_answer)
+        last_answer = q->answered_at;
     }
   return (double)gap;
 }
@@ -76,8 +76,8 @@
   wg_run (w, (int64_t)(seed % 97) * 3000);
   for (int i = 0; i < 20; i++)
     {
-      submit (w);
-      wg_run (w, PERIOD_US);
+      submit_write_and_read (w);
+      wg_run (w, REQUEST_PERIOD_US);
     }
   wg_run (w, 200 * CFS_US_PER_MS);
   w->max_ack_gap_us = 0;
@@ -95,8 +95,8 @@
       if ((double)(w->now - start) >= control_gap)
         for (unsigned h = 0; h < WG_HOSTS; h++)
           w->hosts[h].cut_control = false;
-      submit (w);
-      wg_run (w, PERIOD_US);
+      submit_write_and_read (w);
+      wg_run (w, REQUEST_PERIOD_US);
     }
   bench_add (gap, (double)w->max_ack_gap_us / CFS_US_PER_MS);
   bench_add (reads, read_gap_us (w, start) / CFS_US_PER_MS);
@@ -108,63 +108,63 @@
 false_promotions (uint64_t seed, bool pause_gate)
 {
   struct world_gate *w = wg_new (seed, NULL);
-  uint64_t terms;
+  uint64_t promotions;
 
   wg_run (w, (int64_t)(seed % 97) * 3000);
-  submit (w);
+  submit_write_and_read (w);
   w->inst[0].frozen = !pause_gate;
   w->hosts[0].frozen = pause_gate;
   wg_run (w, 300 * CFS_US_PER_MS);
   w->inst[0].frozen = false;
   w->hosts[0].frozen = false;
   wg_run (w, 3 * CFS_US_PER_S);
-  terms = w->group.granted_term - 1;
+  promotions = w->group.granted_term - 1;
   wg_free (w);
-  return terms;
+  return promotions;
 }
 
 int
 main (void)
 {
   struct bench b = { "failover", 0 };
-  struct bench_series whole = { NULL, 0, 0 };
-  struct bench_series leaderless = { NULL, 0, 0 };
-  struct bench_series gateless = { NULL, 0, 0 };
+  struct bench_series control_intact = { NULL, 0, 0 };
+  struct bench_series leader_lost = { NULL, 0, 0 };
+  struct bench_series gate_lost = { NULL, 0, 0 };
   struct bench_series reads = { NULL, 0, 0 };
   struct bench_series unused = { NULL, 0, 0 };
-  struct bench_series control = { NULL, 0, 0 };
+  struct bench_series lease_renewal = { NULL, 0, 0 };
   uint64_t promotions = 0;
 
   for (uint64_t seed = 1; seed <= RUNS; seed++)
     {
       double gap = control_gap_us (seed);
 
-      bench_add (&control, gap / CFS_US_PER_MS);
-      run_failure (seed, 0, false, &whole, &reads);
-      run_failure (seed, gap, false, &leaderless, &unused);
-      run_failure (seed, 0, true, &gateless, &unused);
+      bench_add (&lease_renewal, gap / CFS_US_PER_MS);
+      run_failure (seed, 0, false, &control_intact, &reads);
+      run_failure (seed, gap, false, &leader_lost, &unused);
+      run_failure (seed, 0, true, &gate_lost, &unused);
       promotions += false_promotions (seed, false);
       promotions += false_promotions (seed, true);
     }
-  bench_at_most (&b, "gap p99, control whole", bench_percentile (&whole, 0.99),
-                 "ms", 2500);
+  bench_at_most (&b, "gap p99, control whole",
+                 bench_percentile (&control_intact, 0.99), "ms", 2500);
   bench_at_most (&b, "gap p99, control leader lost at once",
-                 bench_percentile (&leaderless, 0.99), "ms", 5000);
+                 bench_percentile (&leader_lost, 0.99), "ms", 5000);
   bench_at_most (&b, "reads' gap p99, control whole",
                  bench_percentile (&reads, 0.99), "ms", 100);
   bench_at_most (&b, "false promotions under 300 ms pauses",
                  (double)promotions, "promotions", 0);
-  bench_report (&b, "gap p50, control whole", bench_percentile (&whole, 0.5),
-                "ms");
+  bench_report (&b, "gap p50, control whole",
+                bench_percentile (&control_intact, 0.5), "ms");
   bench_report (&b, "gap p99, gate host lost at once",
-                bench_percentile (&gateless, 0.99), "ms");
+                bench_percentile (&gate_lost, 0.99), "ms");
   bench_report (&b, "control leader lost: time to renewed leases p99",
-                bench_percentile (&control, 0.99), "ms");
-  bench_end (&whole);
-  bench_end (&leaderless);
-  bench_end (&gateless);
+                bench_percentile (&lease_renewal, 0.99), "ms");
+  bench_end (&control_intact);
+  bench_end (&leader_lost);
+  bench_end (&gate_lost);
   bench_end (&reads);
   bench_end (&unused);
-  bench_end (&control);
-  return b.missed != 0;
+  bench_end (&lease_renewal);
+  return b.missed_bounds != 0;
 }
--- a/bench/bench_fair.c
+++ b/bench/bench_fair.c
@@ -22,18 +22,18 @@
 struct job
 {
   struct cfs_request request;
-  int64_t service;
+  int64_t service_us;
   unsigned team;
 };
 
 struct server
 {
   struct job *job;
-  int64_t end;
+  int64_t busy_until;
 };
 
 static double
-service (uint64_t *seed)
+random_service_us (uint64_t *seed)
 {
   double mean = SERVICE_US / (1 - TAIL_SHARE + TAIL_SHARE * TAIL_FACTOR);
 
@@ -53,12 +53,12 @@
   j->request.arrived_at = now;
   j->request.deadline = CFS_NEVER;
   j->team = team;
-  j->service = (int64_t)service (seed) + 1;
+  j->service_us = (int64_t)random_service_us (seed) + 1;
   return j;
 }
 
 static bool
-any (void *ctx, struct cfs_request *r)
+accept_any (void *ctx, struct cfs_request *r)
 {
   (void)ctx;
   (void)r;
@@ -67,31 +67,31 @@
 
 /* Serves one queue with SLOTS servers up to @now; adds waits by team. */
 static void
-serve (struct cfs_fair *f, struct server *servers, int64_t now,
-       struct bench_series *waits)
+run_servers (struct cfs_fair *f, struct server *servers, int64_t now,
+             struct bench_series *waits)
 {
   for (unsigned i = 0; i < SLOTS; i++)
     {
       struct cfs_request *r;
 
-      if (servers[i].job && servers[i].end > now)
+      if (servers[i].job && servers[i].busy_until > now)
         continue;
       if (servers[i].job)
         {
           struct job *j = servers[i].job;
 
-          cfs_fair_done (f, &j->request, j->service);
+          cfs_fair_done (f, &j->request, j->service_us);
           bench_add (&waits[j->team],
-                     (double)(servers[i].end - j->request.arrived_at)
+                     (double)(servers[i].busy_until - j->request.arrived_at)
                          / CFS_US_PER_MS);
           free (j);
           servers[i].job = NULL;
         }
-      r = cfs_fair_pop (f, CFS_LANE_READ, any, NULL);
+      r = cfs_fair_pop (f, CFS_LANE_READ, accept_any, NULL);
       if (!r)
         continue;
       servers[i].job = r->payload;
-      servers[i].end = now + servers[i].job->service;
+      servers[i].busy_until = now + servers[i].job->service_us;
     }
 }
 
@@ -118,7 +118,7 @@
               free (j);
             next[t] += bench_exponential (&seed, t ? mean : mean / factor);
           }
-      serve (&f, servers, now, waits);
+      run_servers (&f, servers, now, waits);
     }
   for (unsigned t = 0; t < TEAMS; t++)
     {
@@ -129,7 +129,7 @@
       bench_end (&waits[t]);
     }
   for (struct cfs_request *r;
-       (r = cfs_fair_pop (&f, CFS_LANE_READ, any, NULL));)
+       (r = cfs_fair_pop (&f, CFS_LANE_READ, accept_any, NULL));)
     free (r->payload);
   for (unsigned i = 0; i < SLOTS; i++)
     free (servers[i].job);
@@ -141,20 +141,20 @@
    beyond its slots slow each other down.  A queue admits @limit of them;
    with several queues each host has its own limit. */
 static void
-share_work (uint64_t seed, unsigned slots, unsigned queues, unsigned limit,
-            struct bench_series *out)
+run_processor_sharing (uint64_t seed, unsigned slots, unsigned queues,
+                       unsigned limit, struct bench_series *out)
 {
   enum
   {
-    JOBS = 4096
+    JOBS_MAX = 4096
   };
   static struct
   {
-    double left;
-    int64_t at;
+    double remaining_us;
+    int64_t arrived_at;
     unsigned queue;
-    bool used, runs;
-  } jobs[JOBS];
+    bool present, running;
+  } jobs[JOBS_MAX];
   unsigned running[HOSTS] = { 0 };
   double next = 0;
   double mean = SERVICE_US / (slots * 0.8);
@@ -165,54 +165,56 @@
   for (int64_t now = 0; now < 20 * CFS_US_PER_S; now += 200)
     {
       unsigned total = 0;
-      double speed;
+      double progress_rate;
 
-      while (next <= (double)now && tail - head < JOBS)
+      while (next <= (double)now && tail - head < JOBS_MAX)
         {
-          jobs[tail % JOBS].left = service (&seed);
-          jobs[tail % JOBS].at = now;
-          jobs[tail % JOBS].queue = (unsigned)(cfs_random (&seed) % queues);
-          jobs[tail % JOBS].used = true;
-          jobs[tail % JOBS].runs = false;
+          jobs[tail % JOBS_MAX].remaining_us = random_service_us (&seed);
+          jobs[tail % JOBS_MAX].arrived_at = now;
+          jobs[tail % JOBS_MAX].queue
+              = (unsigned)(cfs_random (&seed) % queues);
+          jobs[tail % JOBS_MAX].present = true;
+          jobs[tail % JOBS_MAX].running = false;
           tail++;
           next += bench_exponential (&seed, mean);
         }
       for (unsigned q = 0; q < queues; q++)
         total += running[q];
-      speed = total > slots ? (double)slots / total : 1;
+      progress_rate = total > slots ? (double)slots / total : 1;
       for (size_t i = head; i < tail; i++)
         {
-          unsigned q = jobs[i % JOBS].queue;
+          unsigned q = jobs[i % JOBS_MAX].queue;
 
-          if (!jobs[i % JOBS].used)
+          if (!jobs[i % JOBS_MAX].present)
             continue;
-          if (!jobs[i % JOBS].runs && running[q] < limit)
+          if (!jobs[i % JOBS_MAX].running && running[q] < limit)
             {
-              jobs[i % JOBS].runs = true;
+              jobs[i % JOBS_MAX].running = true;
               running[q]++;
             }
-          if (!jobs[i % JOBS].runs)
+          if (!jobs[i % JOBS_MAX].running)
             continue;
-          jobs[i % JOBS].left -= 200 * speed;
-          if (jobs[i % JOBS].left > 0)
+          jobs[i % JOBS_MAX].remaining_us -= 200 * progress_rate;
+          if (jobs[i % JOBS_MAX].remaining_us > 0)
             continue;
-          bench_add (out, (double)(now - jobs[i % JOBS].at) / CFS_US_PER_MS);
+          bench_add (out, (double)(now - jobs[i % JOBS_MAX].arrived_at)
+                              / CFS_US_PER_MS);
           running[q]--;
-          jobs[i % JOBS].used = false;
+          jobs[i % JOBS_MAX].present = false;
         }
-      while (head < tail && !jobs[head % JOBS].used)
+      while (head < tail && !jobs[head % JOBS_MAX].present)
         head++;
     }
 }
 
 static void
-compare_shares (struct bench *b, const char *name, unsigned slots,
-                unsigned queues, unsigned limit)
+compare_admission (struct bench *b, const char *name, unsigned slots,
+                   unsigned queues, unsigned limit)
 {
   struct bench_series s = { NULL, 0, 0 };
   char figure[96];
 
-  share_work (7, slots, queues, limit, &s);
+  run_processor_sharing (7, slots, queues, limit, &s);
   snprintf (figure, sizeof figure, "%u slots, %s, p50", slots, name);
   bench_report (b, figure, bench_percentile (&s, 0.5), "ms");
   snprintf (figure, sizeof figure, "%u slots, %s, p99", slots, name);
@@ -221,7 +223,7 @@
 }
 
 /* Counts of one overload run. */
-struct overload
+struct overload_counts
 {
   double done;
   double late;
@@ -229,7 +231,8 @@
 };
 
 static void
-count_answers (const struct world_gate *w, int64_t end, struct overload *o)
+count_results (const struct world_gate *w, int64_t end,
+               struct overload_counts *o)
 {
   for (int i = 0; i < w->request_count; i++)
     {
@@ -247,25 +250,25 @@
 /* Three times the capacity for a minute on the real gate, then half of it.
    Slow statements keep the number of requests small. */
 static void
-overload (struct bench *b)
+run_overload (struct bench *b)
 {
   enum
   {
-    SLOW_US = 250000,
-    MINUTE_S = 60,
-    AFTER_S = 6
+    SLOW_SERVICE_US = 250000,
+    OVERLOAD_S = 60,
+    RECOVERY_S = 6
   };
   struct world_gate *w = wg_new (3, NULL);
-  struct overload o = { 0, 0, 0 };
+  struct overload_counts o = { 0, 0, 0 };
   uint64_t seed = 5;
   double next = (double)w->now;
-  int64_t end = w->now + MINUTE_S * CFS_US_PER_S;
-  double capacity = SLOTS * 1e6 / SLOW_US;
+  int64_t end = w->now + OVERLOAD_S * CFS_US_PER_S;
+  double capacity = SLOTS * 1e6 / SLOW_SERVICE_US;
   const struct cfs_gate_stats *stats = cfs_gate_stats (w->hosts[0].gate);
 
-  w->service_us = SLOW_US;
+  w->service_us = SLOW_SERVICE_US;
   cfs_gate_configure (w->hosts[0].gate, WG_INSTANCES, true);
-  while (w->now < end + AFTER_S * CFS_US_PER_S)
+  while (w->now < end + RECOVERY_S * CFS_US_PER_S)
     {
       double rate = w->now < end ? 3 * capacity : 0.5 * capacity;
 
@@ -278,9 +281,9 @@
       wg_run (w, WG_STEP_US);
     }
   wg_run (w, 5 * CFS_US_PER_S);
-  count_answers (w, end, &o);
+  count_results (w, end, &o);
   bench_at_least (b, "goodput at 3 times the capacity, of capacity",
-                  100 * o.done / (MINUTE_S * capacity), "%", 90);
+                  100 * o.done / (OVERLOAD_S * capacity), "%", 90);
   bench_at_most (b, "sent for each asked",
                  (double)stats->sent / (double)stats->submitted, "", 1.1);
   bench_at_most (b, "late or failed 2 s after the overload", o.late,
@@ -294,25 +297,26 @@
 main (void)
 {
   struct bench b = { "fair", 0 };
-  double alone = worst_p99 (FAIR_VIRTUAL_TIME, 1, 21);
+  double baseline_p99 = worst_p99 (FAIR_VIRTUAL_TIME, 1, 21);
 
-  bench_report (&b, "worst team's p99, alone", alone, "ms");
+  bench_report (&b, "worst team's p99, alone", baseline_p99, "ms");
   bench_at_most (&b, "worst team's p99 beside 8 times the rate, to alone",
-                 worst_p99 (FAIR_VIRTUAL_TIME, 8, 21) / alone, "times", 1.5);
+                 worst_p99 (FAIR_VIRTUAL_TIME, 8, 21) / baseline_p99, "times",
+                 1.5);
   bench_report (&b, "the same, round robin",
-                worst_p99 (FAIR_ROUND_ROBIN, 8, 21) / alone, "times");
+                worst_p99 (FAIR_ROUND_ROBIN, 8, 21) / baseline_p99, "times");
   bench_report (&b, "the same, first come",
-                worst_p99 (FAIR_FIRST_COME, 8, 21) / alone, "times");
+                worst_p99 (FAIR_FIRST_COME, 8, 21) / baseline_p99, "times");
   for (unsigned slots = 2; slots <= 5; slots += 3)
     {
-      compare_shares (&b, "gate admits the slots", slots, 1, slots);
-      compare_shares (&b, "gate admits half more", slots, 1,
-                      slots + (slots + 1) / 2);
-      compare_shares (&b, "gate admits twice", slots, 1, slots * 2);
-      compare_shares (&b, "gate admits all", slots, 1, 34);
-      compare_shares (&b, "ten hosts, 3 each", slots, HOSTS, 3);
-      compare_shares (&b, "ten hosts, 1 each", slots, HOSTS, 1);
+      compare_admission (&b, "gate admits the slots", slots, 1, slots);
+      compare_admission (&b, "gate admits half more", slots, 1,
+                         slots + (slots + 1) / 2);
+      compare_admission (&b, "gate admits twice", slots, 1, slots * 2);
+      compare_admission (&b, "gate admits all", slots, 1, 34);
+      compare_admission (&b, "ten hosts, 3 each", slots, HOSTS, 3);
+      compare_admission (&b, "ten hosts, 1 each", slots, HOSTS, 1);
     }
-  overload (&b);
-  return b.missed != 0;
+  run_overload (&b);
+  return b.missed_bounds != 0;
 }
--- a/bench/bench_limit.c
+++ b/bench/bench_limit.c
@@ -10,12 +10,12 @@
 #include <stdlib.h>
 
 #define SECONDS 60
-#define PATIENCE_US (5 * CFS_US_PER_S)
-#define LOAD 0.9
+#define DEADLINE_US (5 * CFS_US_PER_S)
+#define LOAD_FACTOR 0.9
 /* Share of a team's requests that its busiest host gets. */
-#define SKEW 0.4
+#define BUSIEST_HOST_SHARE 0.4
 
-struct outcome
+struct limit_result
 {
   uint64_t within, wrongful, over;
   double worst_wait_ms;
@@ -25,14 +25,14 @@
 static unsigned
 pick_host (uint64_t *seed)
 {
-  if (bench_uniform (seed) < SKEW)
+  if (bench_uniform (seed) < BUSIEST_HOST_SHARE)
     return 3;
   return (unsigned)(cfs_random (seed) % WL_HOSTS);
 }
 
 /* Kills a host every ten seconds, the limiter's the first time. */
 static void
-disturb (struct world_limit *w, int64_t t, unsigned *victim)
+inject_host_failures (struct world_limit *w, int64_t t, unsigned *victim)
 {
   if (t % (10 * CFS_US_PER_S) == 2 * CFS_US_PER_S)
     {
@@ -43,28 +43,29 @@
     wl_start (w, *victim);
 }
 
-static struct outcome
-run_grants (double rate, double burst, double load, bool disturbed,
-            uint64_t seed)
+static struct limit_result
+run_limiter (double rate, double burst, double load, bool hosts_fail,
+             uint64_t seed)
 {
   struct world_limit *w = cfs_alloc (sizeof *w);
-  struct outcome out;
-  double next = 0;
+  struct limit_result out;
+  double next_arrival = 0;
   unsigned victim = 0;
 
   wl_init (w, seed, rate, burst);
   for (int64_t t = 0; t < SECONDS * CFS_US_PER_S; t += WL_STEP_US)
     {
-      while (next <= (double)t)
+      while (next_arrival <= (double)t)
         {
-          wl_arrive (w, pick_host (&seed), PATIENCE_US);
-          next += bench_exponential (&seed, CFS_US_PER_S / (rate * load));
+          wl_arrive (w, pick_host (&seed), DEADLINE_US);
+          next_arrival
+              += bench_exponential (&seed, CFS_US_PER_S / (rate * load));
         }
-      if (disturbed)
-        disturb (w, t, &victim);
+      if (hosts_fail)
+        inject_host_failures (w, t, &victim);
       wl_run (w, WL_STEP_US);
     }
-  wl_run (w, 2 * PATIENCE_US);
+  wl_run (w, 2 * DEADLINE_US);
   out.within = w->arrived_within_rate;
   out.wrongful = w->refused_within_rate;
   out.over = w->admitted_over_bound;
@@ -78,38 +79,38 @@
 
 /* Wrongful refusals when each host has a fixed tenth of rate and burst. */
 static double
-equal_split_share (double rate, double burst, uint64_t seed)
+equal_split_wrongful_percent (double rate, double burst, uint64_t seed)
 {
-  double level[WL_HOSTS];
-  double at = 0;
-  double ideal = burst;
+  double tokens[WL_HOSTS];
+  double now_s = 0;
+  double ideal_tokens = burst;
   double within = 0;
   double wrongful = 0;
 
   for (int i = 0; i < WL_HOSTS; i++)
-    level[i] = burst / WL_HOSTS;
-  while (at < SECONDS)
+    tokens[i] = burst / WL_HOSTS;
+  while (now_s < SECONDS)
     {
-      double step = bench_exponential (&seed, 1 / (rate * LOAD));
+      double interval_s = bench_exponential (&seed, 1 / (rate * LOAD_FACTOR));
       unsigned h = pick_host (&seed);
       bool ok;
 
-      at += step;
+      now_s += interval_s;
       for (int i = 0; i < WL_HOSTS; i++)
         {
-          level[i] += step * rate / WL_HOSTS;
-          if (level[i] > burst / WL_HOSTS)
-            level[i] = burst / WL_HOSTS;
+          tokens[i] += interval_s * rate / WL_HOSTS;
+          if (tokens[i] > burst / WL_HOSTS)
+            tokens[i] = burst / WL_HOSTS;
         }
-      ideal += step * rate;
-      if (ideal > burst)
-        ideal = burst;
-      ok = level[h] >= 1;
+      ideal_tokens += interval_s * rate;
+      if (ideal_tokens > burst)
+        ideal_tokens = burst;
+      ok = tokens[h] >= 1;
       if (ok)
-        level[h] -= 1;
-      if (ideal < 1)
+        tokens[h] -= 1;
+      if (ideal_tokens < 1)
         continue;
-      ideal -= 1;
+      ideal_tokens -= 1;
       within += 1;
       wrongful += !ok;
     }
@@ -120,38 +121,42 @@
 main (void)
 {
   struct bench b = { "limit", 0 };
-  struct outcome small = run_grants (20, 10, LOAD, false, 11);
-  struct outcome large = run_grants (400, 200, LOAD, false, 12);
-  struct outcome lost = run_grants (400, 200, LOAD, true, 13);
-  struct outcome lost_small = run_grants (20, 10, LOAD, true, 14);
-  struct outcome flood = run_grants (400, 200, 8, true, 15);
+  struct limit_result small = run_limiter (20, 10, LOAD_FACTOR, false, 11);
+  struct limit_result large = run_limiter (400, 200, LOAD_FACTOR, false, 12);
+  struct limit_result hosts_lost
+      = run_limiter (400, 200, LOAD_FACTOR, true, 13);
+  struct limit_result hosts_lost_small
+      = run_limiter (20, 10, LOAD_FACTOR, true, 14);
+  struct limit_result overload = run_limiter (400, 200, 8, true, 15);
 
   bench_at_most (&b, "wrongful refusals, small team", (double)small.wrongful,
                  "requests", 0);
   bench_at_most (&b, "wrongful refusals, large team", (double)large.wrongful,
                  "requests", 0);
   bench_at_most (&b, "wrongful refusals, hosts lost, large team",
-                 100.0 * (double)lost.wrongful / (double)lost.within, "%",
-                 0.1);
+                 100.0 * (double)hosts_lost.wrongful
+                     / (double)hosts_lost.within,
+                 "%", 0.1);
   bench_at_most (&b, "wrongful refusals, hosts lost, small team",
-                 100.0 * (double)lost_small.wrongful
-                     / (double)lost_small.within,
+                 100.0 * (double)hosts_lost_small.wrongful
+                     / (double)hosts_lost_small.within,
                  "%", 0.1);
   bench_at_most (&b, "over-admission, all runs",
-                 (double)(small.over + large.over + lost.over + lost_small.over
-                          + flood.over),
+                 (double)(small.over + large.over + hosts_lost.over
+                          + hosts_lost_small.over + overload.over),
                  "requests", 0);
   bench_report (&b, "longest wait, steady", large.worst_wait_ms, "ms");
-  bench_report (&b, "longest wait, limiter lost", lost.worst_wait_ms, "ms");
+  bench_report (&b, "longest wait, limiter lost", hosts_lost.worst_wait_ms,
+                "ms");
   bench_report (&b, "messages per request, small team",
                 small.messages_per_request, "");
   bench_report (&b, "messages per request, large team",
                 large.messages_per_request, "");
   bench_report (&b, "messages per request, 8 times the rate",
-                flood.messages_per_request, "");
+                overload.messages_per_request, "");
   bench_report (&b, "wrongful refusals, equal split, small team",
-                equal_split_share (20, 10, 11), "%");
+                equal_split_wrongful_percent (20, 10, 11), "%");
   bench_report (&b, "wrongful refusals, equal split, large team",
-                equal_split_share (400, 200, 12), "%");
-  return b.missed != 0;
+                equal_split_wrongful_percent (400, 200, 12), "%");
+  return b.missed_bounds != 0;
 }
--- a/bench/bench_route.c
+++ b/bench/bench_route.c
@@ -11,10 +11,10 @@
 #include <string.h>
 
 #define SECONDS 12
-#define PERIOD_US 4000
+#define REQUEST_PERIOD_US 4000
 #define WRITE_SHARE 0.2
 
-struct outcome
+struct route_result
 {
   double replica_share;
   double read_p99_ms;
@@ -24,11 +24,11 @@
 };
 
 static void
-collect (const struct world_gate *w, struct outcome *out)
+collect_result (const struct world_gate *w, struct route_result *out)
 {
   struct bench_series reads = { NULL, 0, 0 };
   struct bench_series writes = { NULL, 0, 0 };
-  double replica = 0;
+  double on_replica = 0;
 
   for (int i = 0; i < w->request_count; i++)
     {
@@ -36,11 +36,11 @@
 
       if (!q->answered || q->outcome != CFS_DONE)
         continue;
-      replica += q->read && q->replica;
+      on_replica += q->read && q->replica;
       bench_add (q->read ? &reads : &writes,
                  (double)(q->answered_at - q->submitted_at) / CFS_US_PER_MS);
     }
-  out->replica_share = 100 * replica / (double)reads.count;
+  out->replica_share = 100 * on_replica / (double)reads.count;
   out->read_p99_ms = bench_percentile (&reads, 0.99);
   out->write_p50_ms = bench_percentile (&writes, 0.5);
   out->write_p99_ms = bench_percentile (&writes, 0.99);
@@ -51,11 +51,11 @@
   bench_end (&writes);
 }
 
-static struct outcome
+static struct route_result
 run_policy (bool wait, bool ack_primary, unsigned slots, uint64_t seed)
 {
   struct world_gate *w = wg_new (seed, NULL);
-  struct outcome out;
+  struct route_result out;
   char name[16];
 
   cfs_gate_set_wait_for_replica (w->hosts[0].gate, wait);
@@ -64,17 +64,17 @@
   w->inst[2].lag_us = 2 * CFS_US_PER_S;
   for (unsigned i = 0; i < WG_INSTANCES; i++)
     w->inst[i].slots = slots;
-  for (int64_t t = 0; t < SECONDS * CFS_US_PER_S; t += PERIOD_US)
+  for (int64_t t = 0; t < SECONDS * CFS_US_PER_S; t += REQUEST_PERIOD_US)
     {
       bool write = bench_uniform (&seed) < WRITE_SHARE;
 
       snprintf (name, sizeof name, "s%u", (unsigned)(cfs_random (&seed) % 8));
       wg_submit (w, "r", write ? CFS_WRITE : CFS_READ, "", name, false, "",
                  5 * CFS_US_PER_S, 5 * CFS_US_PER_S);
-      wg_run (w, PERIOD_US);
+      wg_run (w, REQUEST_PERIOD_US);
     }
   wg_run (w, 5 * CFS_US_PER_S);
-  collect (w, &out);
+  collect_result (w, &out);
   wg_free (w);
   return out;
 }
@@ -83,35 +83,41 @@
 main (void)
 {
   struct bench b = { "route", 0 };
-  struct outcome co_op = run_policy (true, false, 5, 1);
-  struct outcome consortium = run_policy (true, false, 2, 2);
-  struct outcome no_wait = run_policy (false, false, 5, 1);
-  struct outcome at_primary = run_policy (true, true, 5, 1);
-  struct outcome at_primary_no_wait = run_policy (false, true, 5, 1);
+  struct route_result ack_majority_5_slots = run_policy (true, false, 5, 1);
+  struct route_result ack_majority_2_slots = run_policy (true, false, 2, 2);
+  struct route_result ack_majority_no_wait = run_policy (false, false, 5, 1);
+  struct route_result ack_primary_wait = run_policy (true, true, 5, 1);
+  struct route_result ack_primary_no_wait = run_policy (false, true, 5, 1);
 
-  bench_at_least (&b, "replica share, 5 slots", co_op.replica_share, "%", 95);
-  bench_at_least (&b, "replica share, 2 slots", consortium.replica_share, "%",
-                  95);
-  bench_report (&b, "read p99, 5 slots", co_op.read_p99_ms, "ms");
-  bench_report (&b, "read p99, 2 slots", consortium.read_p99_ms, "ms");
-  bench_report (&b, "booking p50, majority", co_op.write_p50_ms, "ms");
-  bench_report (&b, "booking p99, majority", co_op.write_p99_ms, "ms");
-  bench_report (&b, "booking p50, ack at primary", at_primary.write_p50_ms,
+  bench_at_least (&b, "replica share, 5 slots",
+                  ack_majority_5_slots.replica_share, "%", 95);
+  bench_at_least (&b, "replica share, 2 slots",
+                  ack_majority_2_slots.replica_share, "%", 95);
+  bench_report (&b, "read p99, 5 slots", ack_majority_5_slots.read_p99_ms,
                 "ms");
-  bench_report (&b, "booking p99, ack at primary", at_primary.write_p99_ms,
+  bench_report (&b, "read p99, 2 slots", ack_majority_2_slots.read_p99_ms,
                 "ms");
-  bench_report (&b, "replica share without waiting", no_wait.replica_share,
-                "%");
-  bench_report (&b, "read p99 without waiting", no_wait.read_p99_ms, "ms");
+  bench_report (&b, "booking p50, majority", ack_majority_5_slots.write_p50_ms,
+                "ms");
+  bench_report (&b, "booking p99, majority", ack_majority_5_slots.write_p99_ms,
+                "ms");
+  bench_report (&b, "booking p50, ack at primary",
+                ack_primary_wait.write_p50_ms, "ms");
+  bench_report (&b, "booking p99, ack at primary",
+                ack_primary_wait.write_p99_ms, "ms");
+  bench_report (&b, "replica share without waiting",
+                ack_majority_no_wait.replica_share, "%");
+  bench_report (&b, "read p99 without waiting",
+                ack_majority_no_wait.read_p99_ms, "ms");
   bench_report (&b, "replica share, ack at primary, waiting",
-                at_primary.replica_share, "%");
+                ack_primary_wait.replica_share, "%");
   bench_report (&b, "read p99, ack at primary, waiting",
-                at_primary.read_p99_ms, "ms");
+                ack_primary_wait.read_p99_ms, "ms");
   bench_report (&b, "replica share, ack at primary, without waiting",
-                at_primary_no_wait.replica_share, "%");
+                ack_primary_no_wait.replica_share, "%");
   bench_report (&b, "read p99, ack at primary, without waiting",
-                at_primary_no_wait.read_p99_ms, "ms");
-  bench_report (&b, "connections opened per 1000", co_op.connects_per_1000,
-                "");
-  return b.missed != 0;
+                ack_primary_no_wait.read_p99_ms, "ms");
+  bench_report (&b, "connections opened per 1000",
+                ack_majority_5_slots.connects_per_1000, "");
+  return b.missed_bounds != 0;
 }
--- a/bench/common.c
+++ b/bench/common.c
@@ -17,38 +17,39 @@
 }
 
 static void
-judge (struct bench *b, const char *figure, double value, const char *unit,
-       const char *sign, double bound, bool ok)
+report_bound (struct bench *b, const char *figure, double value,
+              const char *unit, const char *relation, double bound, bool met)
 {
   printf ("{\"bench\":\"%s\",\"figure\":\"%s\",\"value\":%.4g,\"unit\":\"%s\""
           ",\"bound\":\"%s %.4g\",\"ok\":%s}\n",
-          b->name, figure, value, unit, sign, bound, ok ? "true" : "false");
-  b->missed += !ok;
+          b->name, figure, value, unit, relation, bound,
+          met ? "true" : "false");
+  b->missed_bounds += !met;
 }
 
 void
 bench_at_most (struct bench *b, const char *figure, double value,
                const char *unit, double bound)
 {
-  judge (b, figure, value, unit, "<=", bound, value <= bound);
+  report_bound (b, figure, value, unit, "<=", bound, value <= bound);
 }
 
 void
 bench_at_least (struct bench *b, const char *figure, double value,
                 const char *unit, double bound)
 {
-  judge (b, figure, value, unit, ">=", bound, value >= bound);
+  report_bound (b, figure, value, unit, ">=", bound, value >= bound);
 }
 
 void
 bench_add (struct bench_series *s, double value)
 {
-  cfs_grow (&s->at, &s->cap, s->count, sizeof *s->at);
-  s->at[s->count++] = value;
+  cfs_grow (&s->values, &s->cap, s->count, sizeof *s->values);
+  s->values[s->count++] = value;
 }
 
 static int
-compare (const void *a, const void *b)
+compare_doubles (const void *a, const void *b)
 {
   double x = *(const double *)a;
   double y = *(const double *)b;
@@ -57,19 +58,19 @@
 }
 
 double
-bench_percentile (struct bench_series *s, double share)
+bench_percentile (struct bench_series *s, double fraction)
 {
   if (s->count == 0)
     return 0;
-  qsort (s->at, s->count, sizeof *s->at, compare);
-  return s->at[(size_t)((double)(s->count - 1) * share)];
+  qsort (s->values, s->count, sizeof *s->values, compare_doubles);
+  return s->values[(size_t)((double)(s->count - 1) * fraction)];
 }
 
 void
 bench_end (struct bench_series *s)
 {
-  free (s->at);
-  s->at = NULL;
+  free (s->values);
+  s->values = NULL;
   s->count = 0;
   s->cap = 0;
 }
--- a/bench/common.h
+++ b/bench/common.h
@@ -13,13 +13,13 @@
 struct bench
 {
   const char *name;
-  int missed;
+  int missed_bounds;
 };
 
 /** struct bench_series - samples for percentiles; zeroed memory is empty */
 struct bench_series
 {
-  double *at;
+  double *values;
   size_t count;
   size_t cap;
 };
@@ -39,8 +39,8 @@
 /** bench_add() - adds a sample */
 void bench_add (struct bench_series *s, double value);
 
-/** bench_percentile() - value below which @share of the samples lie */
-double bench_percentile (struct bench_series *s, double share);
+/** bench_percentile() - value below which @fraction of the samples lie */
+double bench_percentile (struct bench_series *s, double fraction);
 
 /** bench_end() - frees the samples */
 void bench_end (struct bench_series *s);
