--- a/tests/fleet.sh
+++ b/tests/fleet.sh
@@ -90,13 +90,13 @@
 group_serving() { "$BIN" status | grep -q "\"resource\":\"gate/$1\"" && "$BIN" status | grep -q "\"group\":\"$1\""; }
 leader_name() { "$BIN" status 2> /dev/null | sed 's/.*"leader":"\([^"]*\)".*/\1/'; }
 
-# call METHOD HOST PATH [curl arguments]: body on stdout, headers kept.
-call() {
+# http_request METHOD HOST PATH [curl arguments]: body on stdout, headers kept.
+http_request() {
   local method=$1 host=$2 path=$3
   shift 3
   curl -s -m 20 -D "$RUN/headers" -X "$method" "${HTTP[$host]}$path" "$@"
 }
-session() { sed -n 's/^[Ss]ession: \([^\r]*\).*/\1/p' "$RUN/headers"; }
+session_token() { sed -n 's/^[Ss]ession: \([^\r]*\).*/\1/p' "$RUN/headers"; }
 
 fleet_end() {
   local p
--- a/tests/process/sessions.sh
+++ b/tests/process/sessions.sh
@@ -9,7 +9,7 @@
 BIN=$PWD/$BUILD/coltsfootstage
 RUN=$(mktemp -d "${TMPDIR:-/tmp}/coltsfootstage.XXXXXX")
 declare -A PID
-B=25000
+PORT_BASE=25000
 SEEDS='"127.0.0.11:25001","127.0.0.12:25001","127.0.0.13:25001"'
 
 stop_all() {
@@ -25,7 +25,7 @@
   cat > "$RUN/core$1.json" <<JSON
 {"host": "127.0.0.1$1", "address": "127.0.0.1$1", "zone": "z$1", "seeds": [$SEEDS],
  "first_start": true, "control_port": 25000, "control_address": "127.0.0.1$1:25001",
- "data_folder": "$RUN/core$1.data", "promotion_address": "127.0.0.1:$((B + 20))", "stop_seconds": 6}
+ "data_folder": "$RUN/core$1.data", "promotion_address": "127.0.0.1:$((PORT_BASE + 20))", "stop_seconds": 6}
 JSON
   COLTSFOOTSTAGE_BOOT="$RUN/core$1.json" "$BIN" serve > "$RUN/core$1.log" 2>&1 &
   PID[core$1]=$!
@@ -34,7 +34,7 @@
   cat > "$RUN/front$1.json" <<JSON
 {"host": "127.0.0.1", "address": "127.0.0.1", "zone": "z1", "seeds": [$SEEDS],
  "zones": {"z1": "east", "z2": "west", "z3": "north"}, "control_port": 25000,
- "session_address": "127.0.0.1:$((B + 30 + $1))", "ready_address": "127.0.0.1:$((B + 40 + $1))",
+ "session_address": "127.0.0.1:$((PORT_BASE + 30 + $1))", "ready_address": "127.0.0.1:$((PORT_BASE + 40 + $1))",
  "revoke_ms": 3000, "stop_seconds": 4}
 JSON
   sed -i "s/\"host\": \"127.0.0.1\"/\"host\": \"f$1\"/" "$RUN/front$1.json"
@@ -42,40 +42,40 @@
   PID[front$1]=$!
 }
 
-# document NUMBER KEYS
-document() {
+# config_document NUMBER KEYS
+config_document() {
   echo "{\"version\":$1,\"routes\":[{\"database\":\"orders\",\"type\":\"primary\",\"timeout_ms\":1500,\"service\":\"db\",\"max_attempts\":2},
  {\"database\":\"board\",\"type\":\"read_your_writes\",\"timeout_ms\":1500,\"service\":\"db\",\"max_attempts\":2,\"max_staleness_ms\":2000}],
  \"services\":[{\"name\":\"db\",\"max_connections\":40,\"sync_replicas\":1}],\"limits\":{\"tx_idle_ms\":3000},
  \"tenants\":[{\"name\":\"weavers\",\"api_keys\":[$2],\"rate_per_s\":200,\"burst\":200}]}"
 }
-put() { curl -s -L -o "$RUN/put" -w '%{http_code}' --max-time 3 -X POST -d "$1" http://127.0.0.11:25001/v1/Config.Replace; }
-describe() { curl -s -L --max-time 3 http://127.0.0.12:25001/v1/Config.Describe; }
+replace_config() { curl -s -L -o "$RUN/put" -w '%{http_code}' --max-time 3 -X POST -d "$1" http://127.0.0.11:25001/v1/Config.Replace; }
+describe_config() { curl -s -L --max-time 3 http://127.0.0.12:25001/v1/Config.Describe; }
 
-# beat N ROLE SEQUENCE
-beat() {
+# send_heartbeat N ROLE SEQUENCE
+send_heartbeat() {
   curl -s -L --max-time 2 -o /dev/null -w '%{http_code}' -X POST \
-    -d "{\"service\":\"db\",\"address\":\"127.0.0.1:$((B + 9 + $1))\",\"zone\":\"z$1\",\"slots\":5,\"state\":\"ready\",\"db_role\":\"$2\",\"sequence\":$3,\"born\":1700000000000}" \
+    -d "{\"service\":\"db\",\"address\":\"127.0.0.1:$((PORT_BASE + 9 + $1))\",\"zone\":\"z$1\",\"slots\":5,\"state\":\"ready\",\"db_role\":\"$2\",\"sequence\":$3,\"born\":1700000000000}" \
     "http://127.0.0.1$1:25001/v1/Instances.Heartbeat/t$1"
 }
 
 # wait_for SECONDS COMMAND...
 wait_for() {
-  local until=$((SECONDS + $1)); shift
+  local end=$((SECONDS + $1)); shift
   until "$@" > /dev/null 2>&1; do
-    [ $SECONDS -ge $until ] && return 1
+    [ $SECONDS -ge $end ] && return 1
     sleep 0.1
   done
 }
-is_ready() { [ "$(curl -s -o /dev/null -w '%{http_code}' --max-time 1 "http://127.0.0.1:$((B + 40 + $1))/v1/readiness")" = 200 ]; }
+is_ready() { [ "$(curl -s -o /dev/null -w '%{http_code}' --max-time 1 "http://127.0.0.1:$((PORT_BASE + 40 + $1))/v1/readiness")" = 200 ]; }
 
-# open FD FRONT DATABASE KEY; say FD LINE; hear FD: lines up to READY.
-open() {
-  eval "exec $1<>/dev/tcp/127.0.0.1/$((B + 30 + $2))" || return 1
+# open_session FD FRONT DATABASE KEY; say FD LINE; read_reply FD: lines up to READY.
+open_session() {
+  eval "exec $1<>/dev/tcp/127.0.0.1/$((PORT_BASE + 30 + $2))" || return 1
   printf 'STARTUP %s %s\r\n' "$3" "$4" >&"$1"
-  hear "$1"
+  read_reply "$1"
 }
-hear() {
+read_reply() {
   local line out=""
   while IFS= read -r -t 5 -u "$1" line; do
     line=${line%$'\r'}
@@ -84,61 +84,61 @@
   done
   echo "$out"
 }
-ask() { printf 'QUERY %s %s\r\n' "$2" "$3" >&"$1"; hear "$1"; }
+query() { printf 'QUERY %s %s\r\n' "$2" "$3" >&"$1"; read_reply "$1"; }
 # expect NAME TEXT PATTERN
 expect() { [[ $2 =~ $3 ]] || { echo "$1: $2"; fail "$1"; }; echo "ok $1"; }
 
-"$BUILD/group" db $((B + 10)) $((B + 11)) $((B + 12)) $((B + 20)) > "$RUN/group.log" 2>&1 &
+"$BUILD/group" db $((PORT_BASE + 10)) $((PORT_BASE + 11)) $((PORT_BASE + 12)) $((PORT_BASE + 20)) > "$RUN/group.log" 2>&1 &
 PID[group]=$!
 for i in 1 2 3; do start_core $i; done
 for i in 1 2; do start_front $i; done
-wait_for 15 eval '[ "$(put "$(document 5 "\"k1\",\"k2\"")")" = 200 ]' || fail "the first document"
+wait_for 15 eval '[ "$(replace_config "$(config_document 5 "\"k1\",\"k2\"")")" = 200 ]' || fail "the first document"
 for i in 1 2 3; do
   role=replica; [ $i = 1 ] && role=primary
-  wait_for 10 eval "[ \"\$(beat $i $role 1)\" = 200 ]" || fail "report of t$i"
+  wait_for 10 eval "[ \"\$(send_heartbeat $i $role 1)\" = 200 ]" || fail "report of t$i"
 done
 wait_for 10 is_ready 1 || fail "front 1 is not ready"
 wait_for 10 is_ready 2 || fail "front 2 is not ready"
 
-open 3 1 orders k1 > "$RUN/open"
+open_session 3 1 orders k1 > "$RUN/open"
 expect "a session opens" "$(cat "$RUN/open")" '^READY I -\|$'
-expect "an unknown key is refused" "$(open 4 1 orders k9)" '^ERROR UNAUTH'
-expect "an unknown database is refused" "$(open 4 1 other k1)" '^ERROR NODB'
-expect "writes" "$(ask 3 a1 'WRITE bowl 3 lidi')" '^COMPLETE mac\.[0-9]+\|READY I 1\.1\|$'
-expect "reads the latest" "$(ask 3 a2 'READ bowl')" '^ROW 3 lidi\|COMPLETE mac'
-expect "begins" "$(ask 3 a3 'BEGIN')" '^COMPLETE -\|READY T'
-expect "writes inside" "$(ask 3 a4 'WRITE mat 7')" '^COMPLETE mac\.[0-9]+\|READY T'
-expect "rolls back" "$(ask 3 a5 'ROLLBACK')" '^COMPLETE -\|READY I'
-expect "nothing of it is kept" "$(ask 3 a6 'READ mat')" '^COMPLETE mac'
-ask 3 a7 BEGIN > /dev/null
-ask 3 a8 'WRITE mat 8' > /dev/null
-expect "commits" "$(ask 3 a9 'COMMIT')" '^COMPLETE mac\.[0-9]+\|READY I 1\.2\|$'
-expect "prepares" "$(ask 3 b1 'PREPARE q READ get')" '^COMPLETE -\|READY I'
-expect "executes" "$(ask 3 b2 'EXECUTE q mat')" '^ROW 8\|COMPLETE mac'
-expect "an unknown name" "$(ask 3 b3 'EXECUTE z mat')" '^ERROR NOSTMT'
-expect "bad input" "$(ask 3 b4 'DROP everything')" '^ERROR MALFORMED .*\|READY I'
-expect "a commit without a transaction" "$(ask 3 b5 'COMMIT')" '^ERROR MALFORMED'
-open 5 2 board k2 > "$RUN/open"
-expect "reads its own write on another host" "$(ask 5 c1 'WRITE pan 1'; ask 5 c2 'READ pan')" 'ROW 1\|COMPLETE'
+expect "an unknown key is refused" "$(open_session 4 1 orders k9)" '^ERROR UNAUTH'
+expect "an unknown database is refused" "$(open_session 4 1 other k1)" '^ERROR NODB'
+expect "writes" "$(query 3 a1 'WRITE bowl 3 lidi')" '^COMPLETE mac\.[0-9]+\|READY I 1\.1\|$'
+expect "reads the latest" "$(query 3 a2 'READ bowl')" '^ROW 3 lidi\|COMPLETE mac'
+expect "begins" "$(query 3 a3 'BEGIN')" '^COMPLETE -\|READY T'
+expect "writes inside" "$(query 3 a4 'WRITE mat 7')" '^COMPLETE mac\.[0-9]+\|READY T'
+expect "rolls back" "$(query 3 a5 'ROLLBACK')" '^COMPLETE -\|READY I'
+expect "nothing of it is kept" "$(query 3 a6 'READ mat')" '^COMPLETE mac'
+query 3 a7 BEGIN > /dev/null
+query 3 a8 'WRITE mat 8' > /dev/null
+expect "commits" "$(query 3 a9 'COMMIT')" '^COMPLETE mac\.[0-9]+\|READY I 1\.2\|$'
+expect "prepares" "$(query 3 b1 'PREPARE q READ get')" '^COMPLETE -\|READY I'
+expect "executes" "$(query 3 b2 'EXECUTE q mat')" '^ROW 8\|COMPLETE mac'
+expect "an unknown name" "$(query 3 b3 'EXECUTE z mat')" '^ERROR NOSTMT'
+expect "bad input" "$(query 3 b4 'DROP everything')" '^ERROR MALFORMED .*\|READY I'
+expect "a commit without a transaction" "$(query 3 b5 'COMMIT')" '^ERROR MALFORMED'
+open_session 5 2 board k2 > "$RUN/open"
+expect "reads its own write on another host" "$(query 5 c1 'WRITE pan 1'; query 5 c2 'READ pan')" 'ROW 1\|COMPLETE'
 
-expect "an older document changes nothing" "$(put "$(document 4 '"k1"')")" 200
-expect "a document cut short is refused" "$(put '{"version":9,"routes":')" 400
-expect "read back" "$(describe)" '"version":5'
+expect "an older document changes nothing" "$(replace_config "$(config_document 4 '"k1"')")" 200
+expect "a document cut short is refused" "$(replace_config '{"version":9,"routes":')" 400
+expect "read back" "$(describe_config)" '"version":5'
 
 kill -USR1 "${PID[group]}"
 wait_for 5 grep -q "t1 stops" "$RUN/group.log" || fail "the primary does not stop"
-expect "writes after the primary died" "$(for n in 1 2 3 4; do ask 3 "d$n" 'WRITE pot 4' > "$RUN/last"; grep -q COMPLETE "$RUN/last" && break; done; cat "$RUN/last")" '^COMPLETE mac\.[0-9]+\|READY I 2\.'
-expect "nothing acknowledged is lost" "$(ask 3 d9 'READ mat')" '^ROW 8\|COMPLETE mac'
+expect "writes after the primary died" "$(for n in 1 2 3 4; do query 3 "d$n" 'WRITE pot 4' > "$RUN/last"; grep -q COMPLETE "$RUN/last" && break; done; cat "$RUN/last")" '^COMPLETE mac\.[0-9]+\|READY I 2\.'
+expect "nothing acknowledged is lost" "$(query 3 d9 'READ mat')" '^ROW 8\|COMPLETE mac'
 
-expect "a key is withdrawn" "$(put "$(document 12 '"k1"')")" 200
+expect "a key is withdrawn" "$(replace_config "$(config_document 12 '"k1"')")" 200
 sleep 1
-expect "its session may not go on" "$(ask 5 e1 'READ pan')" '^ERROR UNAUTH'
-expect "another one may" "$(ask 3 e2 'READ pan')" '^ROW 1'
+expect "its session may not go on" "$(query 5 e1 'READ pan')" '^ERROR UNAUTH'
+expect "another one may" "$(query 3 e2 'READ pan')" '^ROW 1'
 
 kill -TERM "${PID[front1]}"
 sleep 0.3
 is_ready 1 && fail "a stopping host is ready"
-expect "a stopping host serves what is open" "$(ask 3 f1 'READ pan')" '^ROW 1'
+expect "a stopping host serves what is open" "$(query 3 f1 'READ pan')" '^ROW 1'
 wait_for 6 eval "! kill -0 ${PID[front1]} 2> /dev/null" || fail "it does not stop"
 grep -q "part=session id=a2 .*code=ok" "$RUN/front1.log" || fail "no log line for a request"
 echo "ok a planned stop"
