--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -1,7 +1,7 @@
 /*
- * The control leader's machine alone, fed by stand-ins for its hosts, at
- * several sizes up to the one that decides the design.  Bytes are counted
- * and bounded; processor time is measured and only reported.
+ * Benchmark of the control leader alone, with simulated hosts, at several
+ * numbers of hosts up to 400, the size that the design is judged by.  Bytes
+ * are counted and have a bound; processor time is measured and only reported.
  */
 #include "../src/process/leader.h"
 #include "../src/request/admit.h"
@@ -21,7 +21,7 @@
 #define HOST_BYTES_PER_S_MAX 17000
 #define INTERVALS 20
 
-/* A fleet of stand-ins around one leader whose log applies at once. */
+/* Simulated hosts and one leader, whose log entries are applied at once. */
 struct fleet
 {
   struct cfs_state state;
@@ -78,7 +78,8 @@
   append_and_apply (f, data, cfs__command__pack (&c, data));
 }
 
-/* One heartbeat with its reply.  Returns the bytes of both. */
+/* Sends one heartbeat, with the instances of the host's groups if @announce.
+   Returns the bytes of heartbeat and reply. */
 static size_t
 exchange_heartbeat (struct fleet *f, unsigned host, bool announce)
 {
@@ -127,7 +128,8 @@
          + cfs__heartbeat_reply__get_packed_size (r);
 }
 
-/* One interval in which every living host sends a heartbeat. */
+/* Runs one heartbeat interval, in which each live host sends a heartbeat.
+   Returns the bytes of all heartbeats and replies. */
 static size_t
 run_heartbeat_interval (struct fleet *f, bool announce)
 {
@@ -185,7 +187,8 @@
   bench_report (b, figure, value, unit);
 }
 
-/* A third of the hosts, a zone, is lost at once. */
+/* Loses a third of the hosts, a zone, at the same time, and reports what it
+   takes until no lease is held by a lost host. */
 static void
 fail_zone (struct bench *b, struct fleet *f)
 {
--- a/bench/bench_failover.c
+++ b/bench/bench_failover.c
@@ -1,7 +1,11 @@
 /*
- * From detection to resumption with one control group, one gate and three
- * instances.  The time a control group needs to elect a leader and to answer
- * the gate again is measured in its own world and imposed on the gate's.
+ * Benchmark of the failover: how long writes and reads are interrupted when
+ * the primary fails, with one control group, one gate and three instances.
+ *
+ * The time that a control group needs to elect a leader and to renew the
+ * leases is measured in a simulation of the control group.  The simulation of
+ * the gate has none of its own, so it cuts the hosts off from control for
+ * that time.
  */
 #include "../tests/world/control.h"
 #include "../tests/world/gate.h"
@@ -12,8 +16,8 @@
 #define RUNS 200
 #define REQUEST_PERIOD_US (20 * CFS_US_PER_MS)
 
-/* Time from the death of the control leader until every member host has a
-   renewed lease from the next one. */
+/* Time from the crash of the control leader until every host has a lease that
+   the next leader renewed. */
 static double
 control_gap_us (uint64_t seed)
 {
@@ -44,7 +48,7 @@
              10 * CFS_US_PER_S);
 }
 
-/* Longest time between two answers of reads from the failure on. */
+/* Longest time without a successful read from the failure on. */
 static double
 read_gap_us (const struct world_gate *w, int64_t start)
 {
@@ -65,7 +69,10 @@
   return (double)gap;
 }
 
-/* One failure of the primary under steady writes. */
+/* One failure of the primary under a steady load of writes and reads: odd
+   seeds freeze it, even ones kill it.  The hosts are cut off from control for
+   @control_gap, and @kill_gate kills the gate's host at the same time.  Adds
+   the longest gaps in ms to @gap (writes) and @reads. */
 static void
 run_failure (uint64_t seed, double control_gap, bool kill_gate,
              struct bench_series *gap, struct bench_series *reads)
@@ -103,7 +110,8 @@
   wg_free (w);
 }
 
-/* Promotions after a pause of 300 ms of the primary or of the gate host. */
+/* Number of promotions after a pause of 300 ms of the primary or of the
+   gate's host; there should be none. */
 static uint64_t
 false_promotions (uint64_t seed, bool pause_gate)
 {
--- a/bench/bench_fair.c
+++ b/bench/bench_fair.c
@@ -1,8 +1,12 @@
 /*
- * The fair queue before one fake target of five slots: eight teams within
- * their share, one of them sends eight times its rate; then overload at
- * three times the capacity for a minute; then the gate against direct
- * shares of connections held by ten hosts.
+ * Benchmark of fair queueing and admission.
+ *
+ * 1. The fair queue in front of a simulated target of five slots: eight teams
+ *    load it to half of its capacity, then one of them sends eight times its
+ *    rate.  Round robin and first come, first served are the baselines.
+ * 2. One admission queue in the gate, with several limits of running
+ *    statements, compared with ten hosts that have a limit each.
+ * 3. The gate for a minute at three times the capacity of the target.
  */
 #include "../tests/world/gate.h"
 #include "common.h"
@@ -15,7 +19,8 @@
 #define SERVICE_US 5000
 #define HOSTS 10
 #define SECONDS 30
-/* Heavy tail: one statement in twenty takes ten times as long. */
+/* Service times have a heavy tail: one statement in twenty takes ten times as
+   long on average. */
 #define TAIL_SHARE 0.05
 #define TAIL_FACTOR 10
 
@@ -65,7 +70,9 @@
   return true;
 }
 
-/* Serves one queue with SLOTS servers up to @now; adds waits by team. */
+/* Completes the jobs that end by @now, starts queued ones on idle servers and
+   adds the response times of the completed ones to the series of their
+   teams. */
 static void
 run_servers (struct cfs_fair *f, struct server *servers, int64_t now,
              struct bench_series *waits)
@@ -95,7 +102,8 @@
     }
 }
 
-/* Worst p99 of the teams within their rate; team 0 sends @factor times. */
+/* Highest p99 of the response time among the teams that keep to their rate;
+   team 0 sends @factor times its rate. */
 static double
 worst_p99 (enum cfs_fair_policy policy, double factor, uint64_t seed)
 {
@@ -137,9 +145,10 @@
   return worst;
 }
 
-/* The target shares its work evenly between what runs there, so statements
-   beyond its slots slow each other down.  A queue admits @limit of them;
-   with several queues each host has its own limit. */
+/* Simulates a target that divides its capacity evenly among the statements
+   running there (processor sharing), so that statements beyond its slots slow
+   each other down.  Each of the @queues queues runs at most @limit statements
+   at a time: one queue is the gate's, several are one per host. */
 static void
 run_processor_sharing (uint64_t seed, unsigned slots, unsigned queues,
                        unsigned limit, struct bench_series *out)
@@ -222,7 +231,12 @@
   bench_end (&s);
 }
 
-/* Counts of one overload run. */
+/*
+ * struct overload_counts - numbers of requests
+ * @done: answered as done before the overload ended
+ * @late: submitted more than 2 s after it, and not answered as done within 2 s
+ * @refused_early: refused as overloaded on arrival
+ */
 struct overload_counts
 {
   double done;
@@ -247,8 +261,9 @@
     }
 }
 
-/* Three times the capacity for a minute on the real gate, then half of it.
-   Slow statements keep the number of requests small. */
+/* Sends three times the capacity to the real gate for a minute, then half of
+   the capacity.  Statements are slow so that the number of requests stays
+   small. */
 static void
 run_overload (struct bench *b)
 {
--- a/bench/bench_limit.c
+++ b/bench/bench_limit.c
@@ -1,8 +1,12 @@
 /*
- * The limiter with its clients on ten hosts.  A small and a large team ask
- * within their rate by an ideal bucket; then one host after the other dies,
- * the limiter's among them.  Baseline: the same rate split equally between
- * the hosts, without messages.
+ * Benchmark of the rate limiter with its clients on ten hosts.  The reference
+ * is an ideal token bucket: a refusal is wrongful if the ideal bucket would
+ * have admitted the request, and an admission is too many if it would not.
+ *
+ * A small and a large team send 0.9 times their rate, first without failures,
+ * then with hosts that fail one at a time, the limiter's among them; then the
+ * large team sends 8 times its rate.  Baseline: each host has a fixed tenth
+ * of rate and burst, without messages.
  */
 #include "../tests/world/limit.h"
 #include "common.h"
@@ -12,7 +16,8 @@
 #define SECONDS 60
 #define DEADLINE_US (5 * CFS_US_PER_S)
 #define LOAD_FACTOR 0.9
-/* Share of a team's requests that its busiest host gets. */
+/* Fraction of a team's requests that always goes to host 3; the others go to
+   any host. */
 #define BUSIEST_HOST_SHARE 0.4
 
 struct limit_result
@@ -30,7 +35,9 @@
   return (unsigned)(cfs_random (seed) % WL_HOSTS);
 }
 
-/* Kills a host every ten seconds, the limiter's the first time. */
+/* Stops a host at 2 s, 12 s and so on, and starts it again 4 s later: first
+   the limiter's host, then host t % WL_HOSTS, which is host 0 each time
+   because t is in microseconds. */
 static void
 inject_host_failures (struct world_limit *w, int64_t t, unsigned *victim)
 {
@@ -77,7 +84,8 @@
   return out;
 }
 
-/* Wrongful refusals when each host has a fixed tenth of rate and burst. */
+/* Percentage of wrongful refusals if each host has a fixed tenth of rate and
+   burst. */
 static double
 equal_split_wrongful_percent (double rate, double burst, uint64_t seed)
 {
--- a/bench/bench_route.c
+++ b/bench/bench_route.c
@@ -1,8 +1,9 @@
 /*
- * Choice of replicas before three fake instances: one of the replicas lags
- * 50 ms, the other 2 s.  Eight sessions read four times as often as they
- * write.  Compared: waiting for a replica against going to the primary, and
- * acknowledging at a majority against at the primary.
+ * Benchmark of read routing: a gate with three simulated instances, one
+ * replica 50 ms behind the primary, the other 2 s.  Eight sessions send four
+ * reads for each write.  Compares letting a read wait for a replica with
+ * sending it to the primary at once, and acknowledging writes once a majority
+ * of the instances has them with acknowledging them at the primary alone.
  */
 #include "../tests/world/gate.h"
 #include "common.h"
--- a/bench/common.c
+++ b/bench/common.c
@@ -1,5 +1,6 @@
 /*
- * Percentiles are taken from all samples, sorted when asked for.
+ * Percentiles are exact: all samples are kept, and sorted by each call of
+ * bench_percentile().
  */
 #include "common.h"
 
--- a/bench/common.h
+++ b/bench/common.h
@@ -1,22 +1,27 @@
 /**
- * DOC: Figures of the benchmarks, one JSON line each.
+ * DOC: Statistics and output shared by the benchmarks.
  *
- * All runs are in virtual time with fixed seeds, so a bound gives the same
- * verdict on every machine.
+ * Each figure is printed as one JSON line.  Figures with a bound are measured
+ * in virtual time with fixed seeds, so a bound is met or missed alike on every
+ * machine.
  */
 #ifndef BENCH_COMMON_H
 #define BENCH_COMMON_H
 
 #include "../src/cfs.h"
 
-/** struct bench - collects the verdict of one benchmark */
+/**
+ * struct bench - one benchmark
+ * @name: value of "bench" in its JSON lines
+ * @missed_bounds: number of figures beyond their bound
+ */
 struct bench
 {
   const char *name;
   int missed_bounds;
 };
 
-/** struct bench_series - samples for percentiles; zeroed memory is empty */
+/** struct bench_series - list of samples; zeroed memory is an empty list */
 struct bench_series
 {
   double *values;
@@ -39,16 +44,16 @@
 /** bench_add() - adds a sample */
 void bench_add (struct bench_series *s, double value);
 
-/** bench_percentile() - value below which @fraction of the samples lie */
+/** bench_percentile() - value at @fraction of the sorted samples, 0 if none */
 double bench_percentile (struct bench_series *s, double fraction);
 
 /** bench_end() - frees the samples */
 void bench_end (struct bench_series *s);
 
-/** bench_uniform() - number above 0 and at most 1 */
+/** bench_uniform() - uniformly distributed number above 0 and at most 1 */
 double bench_uniform (uint64_t *seed);
 
-/** bench_exponential() - exponential number of this mean */
+/** bench_exponential() - exponentially distributed number of this mean */
 double bench_exponential (uint64_t *seed, double mean);
 
 #endif
