--- a/bench/bench_failover.c
+++ b/bench/bench_failover.c
@@ -4,7 +4,7 @@
  *
  * The time that a control group needs to elect a leader and to renew the
  * leases is measured in a simulation of the control group.  The simulation of
- * the gate has none of its own, so it cuts the hosts off from control for
+ * the gate has only a stub of one, so it cuts the hosts off from control for
  * that time.
  */
 #include "../tests/world/control.h"
@@ -16,8 +16,8 @@
 #define RUNS 200
 #define REQUEST_PERIOD_US (20 * CFS_US_PER_MS)
 
-/* Time from the crash of the control leader until every host has a lease that
-   the next leader renewed. */
+/* Time from the crash of the control leader until every member host has a
+   lease that the next leader renewed. */
 static double
 control_gap_us (uint64_t seed)
 {
--- a/bench/bench_limit.c
+++ b/bench/bench_limit.c
@@ -1,7 +1,8 @@
 /*
  * Benchmark of the rate limiter with its clients on ten hosts.  The reference
  * is an ideal token bucket: a refusal is wrongful if the ideal bucket would
- * have admitted the request, and an admission is too many if it would not.
+ * have admitted the request, and an admission is too many if the admissions
+ * so far would have emptied the ideal bucket.
  *
  * A small and a large team send 0.9 times their rate, first without failures,
  * then with hosts that fail one at a time, the limiter's among them; then the
