--- a/bench/bench_failover.c
+++ b/bench/bench_failover.c
@@ -154,17 +154,17 @@
       promotions += false_promotions (seed, false);
       promotions += false_promotions (seed, true);
     }
-  bench_at_most (&b, "gap p99, control whole",
+  bench_at_most (&b, "write gap p99, control group intact",
                  bench_percentile (&control_intact, 0.99), "ms", 2500);
-  bench_at_most (&b, "gap p99, control leader lost at once",
+  bench_at_most (&b, "write gap p99, control leader lost too",
                  bench_percentile (&leader_lost, 0.99), "ms", 5000);
-  bench_at_most (&b, "reads' gap p99, control whole",
+  bench_at_most (&b, "read gap p99, control group intact",
                  bench_percentile (&reads, 0.99), "ms", 100);
   bench_at_most (&b, "false promotions under 300 ms pauses",
                  (double)promotions, "promotions", 0);
-  bench_report (&b, "gap p50, control whole",
+  bench_report (&b, "write gap p50, control group intact",
                 bench_percentile (&control_intact, 0.5), "ms");
-  bench_report (&b, "gap p99, gate host lost at once",
+  bench_report (&b, "write gap p99, gate host lost too",
                 bench_percentile (&gate_lost, 0.99), "ms");
   bench_report (&b, "control leader lost: time to renewed leases p99",
                 bench_percentile (&lease_renewal, 0.99), "ms");
--- a/bench/bench_fair.c
+++ b/bench/bench_fair.c
@@ -299,7 +299,7 @@
   count_results (w, end, &o);
   bench_at_least (b, "goodput at 3 times the capacity, of capacity",
                   100 * o.done / (OVERLOAD_S * capacity), "%", 90);
-  bench_at_most (b, "sent for each asked",
+  bench_at_most (b, "statements sent per request submitted",
                  (double)stats->sent / (double)stats->submitted, "", 1.1);
   bench_at_most (b, "late or failed 2 s after the overload", o.late,
                  "requests", 0);
@@ -314,14 +314,17 @@
   struct bench b = { "fair", 0 };
   double baseline_p99 = worst_p99 (FAIR_VIRTUAL_TIME, 1, 21);
 
-  bench_report (&b, "worst team's p99, alone", baseline_p99, "ms");
-  bench_at_most (&b, "worst team's p99 beside 8 times the rate, to alone",
+  bench_report (&b, "worst p99, all teams within their rate", baseline_p99,
+                "ms");
+  bench_at_most (&b, "worst p99 beside a team at 8 times its rate, ratio",
                  worst_p99 (FAIR_VIRTUAL_TIME, 8, 21) / baseline_p99, "times",
                  1.5);
-  bench_report (&b, "the same, round robin",
-                worst_p99 (FAIR_ROUND_ROBIN, 8, 21) / baseline_p99, "times");
-  bench_report (&b, "the same, first come",
-                worst_p99 (FAIR_FIRST_COME, 8, 21) / baseline_p99, "times");
+  bench_report (
+      &b, "worst p99 beside a team at 8 times its rate, ratio, round robin",
+      worst_p99 (FAIR_ROUND_ROBIN, 8, 21) / baseline_p99, "times");
+  bench_report (
+      &b, "worst p99 beside a team at 8 times its rate, ratio, first come",
+      worst_p99 (FAIR_FIRST_COME, 8, 21) / baseline_p99, "times");
   for (unsigned slots = 2; slots <= 5; slots += 3)
     {
       compare_admission (&b, "gate admits the slots", slots, 1, slots);
--- a/bench/bench_route.c
+++ b/bench/bench_route.c
@@ -98,14 +98,14 @@
                 "ms");
   bench_report (&b, "read p99, 2 slots", ack_majority_2_slots.read_p99_ms,
                 "ms");
-  bench_report (&b, "booking p50, majority", ack_majority_5_slots.write_p50_ms,
+  bench_report (&b, "write p50, ack at majority",
+                ack_majority_5_slots.write_p50_ms, "ms");
+  bench_report (&b, "write p99, ack at majority",
+                ack_majority_5_slots.write_p99_ms, "ms");
+  bench_report (&b, "write p50, ack at primary", ack_primary_wait.write_p50_ms,
                 "ms");
-  bench_report (&b, "booking p99, majority", ack_majority_5_slots.write_p99_ms,
+  bench_report (&b, "write p99, ack at primary", ack_primary_wait.write_p99_ms,
                 "ms");
-  bench_report (&b, "booking p50, ack at primary",
-                ack_primary_wait.write_p50_ms, "ms");
-  bench_report (&b, "booking p99, ack at primary",
-                ack_primary_wait.write_p99_ms, "ms");
   bench_report (&b, "replica share without waiting",
                 ack_majority_no_wait.replica_share, "%");
   bench_report (&b, "read p99 without waiting",
@@ -118,7 +118,7 @@
                 ack_primary_no_wait.replica_share, "%");
   bench_report (&b, "read p99, ack at primary, without waiting",
                 ack_primary_no_wait.read_p99_ms, "ms");
-  bench_report (&b, "connections opened per 1000",
+  bench_report (&b, "connections opened per 1000 requests",
                 ack_majority_5_slots.connects_per_1000, "");
   return b.missed_bounds != 0;
 }
