--- a/tests/fleet.sh
+++ b/tests/fleet.sh
@@ -1,5 +1,7 @@
-# Starts and stops a small fleet on loopback; sourced by the demo and the
-# process tests.  Everything it starts is ended by process id.
+# Functions that start and stop a small fleet on loopback; sourced by
+# tests/demo, tests/process and bench/process.  On exit each process that was
+# started is ended by its process id; KEEP=1 keeps the folder of settings, logs
+# and data.
 BUILD=${BUILD:-build}
 BIN=$PWD/$BUILD/coltsfootstage
 TARGET=$PWD/$BUILD/target
@@ -20,7 +22,8 @@
   export COLTSFOOTSTAGE_KEY=$OPERATOR_KEY
 }
 
-# fleet_settings NAME ZONE NUMBER [control]
+# fleet_settings NAME ZONE NUMBER [control]: writes the settings of a host; with
+# "control" those of a member of the control group.
 fleet_settings() {
   local http=$((PORT_BASE + $3)) data=""
   HTTP[$1]=http://127.0.0.1:$http
@@ -42,7 +45,7 @@
   PID[$1]=$!
 }
 
-# fleet_target NAME NUMBER FLAGS...
+# fleet_target NAME NUMBER FLAGS...: starts a stand-in target.
 fleet_target() {
   local name=$1 port=$((PORT_BASE + 300 + $2))
   shift 2
@@ -53,7 +56,8 @@
   PID[$name]=$!
 }
 
-# fleet_group GROUP FIRST: three instances, the first one leads.
+# fleet_group GROUP NUMBER [FLAGS...]: starts three instances numbered from
+# NUMBER; the first one is the primary.
 fleet_group() {
   local p=$((PORT_BASE + 300 + $2))
   fleet_target "$1-1" "$2" --group "$1" --zone a --primary --peer $((p + 1)) --peer $((p + 2)) "${@:3}"
@@ -61,7 +65,7 @@
   fleet_target "$1-3" $(($2 + 2)) --group "$1" --zone c --peer $p --peer $((p + 1)) "${@:3}"
 }
 
-# Three control hosts c1 to c3 and two entry hosts e1 and e2.
+# Starts three control hosts, c1 to c3, and two entry hosts, e1 and e2.
 fleet_hosts() {
   fleet_keys
   local n=1 h
@@ -76,7 +80,8 @@
   export COLTSFOOTSTAGE_URL=${HTTP[e1]}
 }
 
-# wait_for SECONDS COMMAND...: until the command succeeds.
+# wait_for SECONDS COMMAND...: runs the command until it succeeds; fails when it
+# has not after SECONDS.
 wait_for() {
   local end=$((SECONDS + $1))
   shift
@@ -90,12 +95,14 @@
 group_serving() { "$BIN" status | grep -q "\"resource\":\"gate/$1\"" && "$BIN" status | grep -q "\"group\":\"$1\""; }
 leader_name() { "$BIN" status 2> /dev/null | sed 's/.*"leader":"\([^"]*\)".*/\1/'; }
 
-# http_request METHOD HOST PATH [curl arguments]: body on stdout, headers kept.
+# http_request METHOD HOST PATH [curl arguments]: prints the body of the response
+# and writes its headers to $RUN/headers.
 http_request() {
   local method=$1 host=$2 path=$3
   shift 3
   curl -s -m 20 -D "$RUN/headers" -X "$method" "${HTTP[$host]}$path" "$@"
 }
+# Session token in the headers of the last response.
 session_token() { sed -n 's/^[Ss]ession: \([^\r]*\).*/\1/p' "$RUN/headers"; }
 
 fleet_end() {
--- a/tests/process/sessions.sh
+++ b/tests/process/sessions.sh
@@ -1,8 +1,9 @@
 #!/usr/bin/env bash
-# Sessions over the platform's edge, with real processes on loopback: three
-# control hosts found by seeds, two hosts that callers reach, one group of
-# three stand-in instances.  Reads, writes, transactions, prepared names, bad
-# input, a withdrawn key, a dead primary, a planned stop.
+# Sessions over the platform's line protocol with real processes on loopback:
+# three control hosts (core) that find each other by seeds, two hosts that
+# callers reach (front), one group of three stand-in instances.  Covers reads,
+# writes, transactions, prepared statements, bad input, the configuration
+# document, failover, a withdrawn key and a planned stop.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
@@ -21,6 +22,7 @@
 trap stop_all EXIT
 fail() { echo "FAILED: $1"; tail -n 6 "$RUN"/*.log; exit 1; }
 
+# start_core NUMBER: starts control host 127.0.0.1NUMBER.
 start_core() {
   cat > "$RUN/core$1.json" <<JSON
 {"host": "127.0.0.1$1", "address": "127.0.0.1$1", "zone": "z$1", "seeds": [$SEEDS],
@@ -30,6 +32,7 @@
   COLTSFOOTSTAGE_BOOT="$RUN/core$1.json" "$BIN" serve > "$RUN/core$1.log" 2>&1 &
   PID[core$1]=$!
 }
+# start_front NUMBER: starts a host that callers reach.
 start_front() {
   cat > "$RUN/front$1.json" <<JSON
 {"host": "127.0.0.1", "address": "127.0.0.1", "zone": "z1", "seeds": [$SEEDS],
@@ -42,7 +45,7 @@
   PID[front$1]=$!
 }
 
-# config_document NUMBER KEYS
+# config_document VERSION KEYS: prints a configuration document.
 config_document() {
   echo "{\"version\":$1,\"routes\":[{\"database\":\"orders\",\"type\":\"primary\",\"timeout_ms\":1500,\"service\":\"db\",\"max_attempts\":2},
  {\"database\":\"board\",\"type\":\"read_your_writes\",\"timeout_ms\":1500,\"service\":\"db\",\"max_attempts\":2,\"max_staleness_ms\":2000}],
@@ -52,14 +55,16 @@
 replace_config() { curl -s -L -o "$RUN/put" -w '%{http_code}' --max-time 3 -X POST -d "$1" http://127.0.0.11:25001/v1/Config.Replace; }
 describe_config() { curl -s -L --max-time 3 http://127.0.0.12:25001/v1/Config.Describe; }
 
-# send_heartbeat N ROLE SEQUENCE
+# send_heartbeat N ROLE SEQUENCE: reports instance tN to control host N and prints
+# the HTTP status.
 send_heartbeat() {
   curl -s -L --max-time 2 -o /dev/null -w '%{http_code}' -X POST \
     -d "{\"service\":\"db\",\"address\":\"127.0.0.1:$((PORT_BASE + 9 + $1))\",\"zone\":\"z$1\",\"slots\":5,\"state\":\"ready\",\"db_role\":\"$2\",\"sequence\":$3,\"born\":1700000000000}" \
     "http://127.0.0.1$1:25001/v1/Instances.Heartbeat/t$1"
 }
 
-# wait_for SECONDS COMMAND...
+# wait_for SECONDS COMMAND...: runs the command until it succeeds; fails when it
+# has not after SECONDS.
 wait_for() {
   local end=$((SECONDS + $1)); shift
   until "$@" > /dev/null 2>&1; do
@@ -69,12 +74,14 @@
 }
 is_ready() { [ "$(curl -s -o /dev/null -w '%{http_code}' --max-time 1 "http://127.0.0.1:$((PORT_BASE + 40 + $1))/v1/readiness")" = 200 ]; }
 
-# open_session FD FRONT DATABASE KEY; say FD LINE; read_reply FD: lines up to READY.
+# open_session FD FRONT DATABASE KEY: connects FD to a front host, sends STARTUP
+# and prints the reply.
 open_session() {
   eval "exec $1<>/dev/tcp/127.0.0.1/$((PORT_BASE + 30 + $2))" || return 1
   printf 'STARTUP %s %s\r\n' "$3" "$4" >&"$1"
   read_reply "$1"
 }
+# read_reply FD: prints the lines up to READY, each followed by "|".
 read_reply() {
   local line out=""
   while IFS= read -r -t 5 -u "$1" line; do
@@ -84,61 +91,62 @@
   done
   echo "$out"
 }
+# query FD ID STATEMENT: sends a statement and prints the reply.
 query() { printf 'QUERY %s %s\r\n' "$2" "$3" >&"$1"; read_reply "$1"; }
-# expect NAME TEXT PATTERN
+# expect NAME TEXT PATTERN: TEXT must match the regular expression.
 expect() { [[ $2 =~ $3 ]] || { echo "$1: $2"; fail "$1"; }; echo "ok $1"; }
 
 "$BUILD/group" db $((PORT_BASE + 10)) $((PORT_BASE + 11)) $((PORT_BASE + 12)) $((PORT_BASE + 20)) > "$RUN/group.log" 2>&1 &
 PID[group]=$!
 for i in 1 2 3; do start_core $i; done
 for i in 1 2; do start_front $i; done
-wait_for 15 eval '[ "$(replace_config "$(config_document 5 "\"k1\",\"k2\"")")" = 200 ]' || fail "the first document"
+wait_for 15 eval '[ "$(replace_config "$(config_document 5 "\"k1\",\"k2\"")")" = 200 ]' || fail "the first configuration document is not accepted after 15 s"
 for i in 1 2 3; do
   role=replica; [ $i = 1 ] && role=primary
-  wait_for 10 eval "[ \"\$(send_heartbeat $i $role 1)\" = 200 ]" || fail "report of t$i"
+  wait_for 10 eval "[ \"\$(send_heartbeat $i $role 1)\" = 200 ]" || fail "the heartbeat of t$i is not accepted after 10 s"
 done
-wait_for 10 is_ready 1 || fail "front 1 is not ready"
-wait_for 10 is_ready 2 || fail "front 2 is not ready"
+wait_for 10 is_ready 1 || fail "front 1 is not ready after 10 s"
+wait_for 10 is_ready 2 || fail "front 2 is not ready after 10 s"
 
 open_session 3 1 orders k1 > "$RUN/open"
-expect "a session opens" "$(cat "$RUN/open")" '^READY I -\|$'
-expect "an unknown key is refused" "$(open_session 4 1 orders k9)" '^ERROR UNAUTH'
-expect "an unknown database is refused" "$(open_session 4 1 other k1)" '^ERROR NODB'
-expect "writes" "$(query 3 a1 'WRITE bowl 3 lidi')" '^COMPLETE mac\.[0-9]+\|READY I 1\.1\|$'
-expect "reads the latest" "$(query 3 a2 'READ bowl')" '^ROW 3 lidi\|COMPLETE mac'
-expect "begins" "$(query 3 a3 'BEGIN')" '^COMPLETE -\|READY T'
-expect "writes inside" "$(query 3 a4 'WRITE mat 7')" '^COMPLETE mac\.[0-9]+\|READY T'
-expect "rolls back" "$(query 3 a5 'ROLLBACK')" '^COMPLETE -\|READY I'
-expect "nothing of it is kept" "$(query 3 a6 'READ mat')" '^COMPLETE mac'
+expect "session opens" "$(cat "$RUN/open")" '^READY I -\|$'
+expect "unknown key is refused" "$(open_session 4 1 orders k9)" '^ERROR UNAUTH'
+expect "unknown database is refused" "$(open_session 4 1 other k1)" '^ERROR NODB'
+expect "write" "$(query 3 a1 'WRITE bowl 3 lidi')" '^COMPLETE mac\.[0-9]+\|READY I 1\.1\|$'
+expect "read after the write" "$(query 3 a2 'READ bowl')" '^ROW 3 lidi\|COMPLETE mac'
+expect "transaction begins" "$(query 3 a3 'BEGIN')" '^COMPLETE -\|READY T'
+expect "write in a transaction" "$(query 3 a4 'WRITE mat 7')" '^COMPLETE mac\.[0-9]+\|READY T'
+expect "transaction rolls back" "$(query 3 a5 'ROLLBACK')" '^COMPLETE -\|READY I'
+expect "write that was rolled back is not visible" "$(query 3 a6 'READ mat')" '^COMPLETE mac'
 query 3 a7 BEGIN > /dev/null
 query 3 a8 'WRITE mat 8' > /dev/null
-expect "commits" "$(query 3 a9 'COMMIT')" '^COMPLETE mac\.[0-9]+\|READY I 1\.2\|$'
-expect "prepares" "$(query 3 b1 'PREPARE q READ get')" '^COMPLETE -\|READY I'
-expect "executes" "$(query 3 b2 'EXECUTE q mat')" '^ROW 8\|COMPLETE mac'
-expect "an unknown name" "$(query 3 b3 'EXECUTE z mat')" '^ERROR NOSTMT'
-expect "bad input" "$(query 3 b4 'DROP everything')" '^ERROR MALFORMED .*\|READY I'
-expect "a commit without a transaction" "$(query 3 b5 'COMMIT')" '^ERROR MALFORMED'
+expect "transaction commits" "$(query 3 a9 'COMMIT')" '^COMPLETE mac\.[0-9]+\|READY I 1\.2\|$'
+expect "statement is prepared" "$(query 3 b1 'PREPARE q READ get')" '^COMPLETE -\|READY I'
+expect "prepared statement is executed" "$(query 3 b2 'EXECUTE q mat')" '^ROW 8\|COMPLETE mac'
+expect "unknown prepared statement is refused" "$(query 3 b3 'EXECUTE z mat')" '^ERROR NOSTMT'
+expect "malformed statement is refused" "$(query 3 b4 'DROP everything')" '^ERROR MALFORMED .*\|READY I'
+expect "commit without a transaction is refused" "$(query 3 b5 'COMMIT')" '^ERROR MALFORMED'
 open_session 5 2 board k2 > "$RUN/open"
-expect "reads its own write on another host" "$(query 5 c1 'WRITE pan 1'; query 5 c2 'READ pan')" 'ROW 1\|COMPLETE'
+expect "session on the other host reads its own write" "$(query 5 c1 'WRITE pan 1'; query 5 c2 'READ pan')" 'ROW 1\|COMPLETE'
 
-expect "an older document changes nothing" "$(replace_config "$(config_document 4 '"k1"')")" 200
-expect "a document cut short is refused" "$(replace_config '{"version":9,"routes":')" 400
-expect "read back" "$(describe_config)" '"version":5'
+expect "older configuration document is accepted" "$(replace_config "$(config_document 4 '"k1"')")" 200
+expect "truncated configuration document is refused" "$(replace_config '{"version":9,"routes":')" 400
+expect "older document did not replace the newer one" "$(describe_config)" '"version":5'
 
 kill -USR1 "${PID[group]}"
-wait_for 5 grep -q "t1 stops" "$RUN/group.log" || fail "the primary does not stop"
-expect "writes after the primary died" "$(for n in 1 2 3 4; do query 3 "d$n" 'WRITE pot 4' > "$RUN/last"; grep -q COMPLETE "$RUN/last" && break; done; cat "$RUN/last")" '^COMPLETE mac\.[0-9]+\|READY I 2\.'
-expect "nothing acknowledged is lost" "$(query 3 d9 'READ mat')" '^ROW 8\|COMPLETE mac'
+wait_for 5 grep -q "t1 stops" "$RUN/group.log" || fail "the primary did not stop within 5 s"
+expect "write after the failover" "$(for n in 1 2 3 4; do query 3 "d$n" 'WRITE pot 4' > "$RUN/last"; grep -q COMPLETE "$RUN/last" && break; done; cat "$RUN/last")" '^COMPLETE mac\.[0-9]+\|READY I 2\.'
+expect "acknowledged write survives the failover" "$(query 3 d9 'READ mat')" '^ROW 8\|COMPLETE mac'
 
-expect "a key is withdrawn" "$(replace_config "$(config_document 12 '"k1"')")" 200
+expect "document without key k2 is accepted" "$(replace_config "$(config_document 12 '"k1"')")" 200
 sleep 1
-expect "its session may not go on" "$(query 5 e1 'READ pan')" '^ERROR UNAUTH'
-expect "another one may" "$(query 3 e2 'READ pan')" '^ROW 1'
+expect "session with the withdrawn key is refused" "$(query 5 e1 'READ pan')" '^ERROR UNAUTH'
+expect "session with another key goes on" "$(query 3 e2 'READ pan')" '^ROW 1'
 
 kill -TERM "${PID[front1]}"
 sleep 0.3
-is_ready 1 && fail "a stopping host is ready"
-expect "a stopping host serves what is open" "$(query 3 f1 'READ pan')" '^ROW 1'
-wait_for 6 eval "! kill -0 ${PID[front1]} 2> /dev/null" || fail "it does not stop"
-grep -q "part=session id=a2 .*code=ok" "$RUN/front1.log" || fail "no log line for a request"
-echo "ok a planned stop"
+is_ready 1 && fail "a stopping host reports that it is ready"
+expect "stopping host serves open sessions" "$(query 3 f1 'READ pan')" '^ROW 1'
+wait_for 6 eval "! kill -0 ${PID[front1]} 2> /dev/null" || fail "the host did not stop within 6 s"
+grep -q "part=session id=a2 .*code=ok" "$RUN/front1.log" || fail "the log has no line for the request a2"
+echo "ok planned stop"
--- a/tests/process/soak.sh
+++ b/tests/process/soak.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# The fault soak, short: seeds that failed once, and two more.  SEEDS and
-# SECONDS_EACH run others; each run prints its seed and where its logs are.
+# Short runs of the fault soak: the seeds that failed in the past and two more.
+# SEEDS sets other seeds, SECONDS_EACH the length of a run, JOBS the number of
+# runs in parallel.  Each run prints its seed and the folder of its logs.
 set -u
 cd "$(dirname "$0")/../.."
 BUILD=${BUILD:-build}
 export BUILD
-# Seeds that ever failed, with the cause on a line of their own each.
+# Seeds that failed in the past; the cause of each goes into a comment line.
 REGRESSIONS=""
 SEEDS=${SEEDS:-"1 2 $REGRESSIONS"}
 SECONDS_EACH=${SECONDS_EACH:-15}
