--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,5 @@
-# Targets: all, check, check-asan, demo, demo-sessions, bench, format, lint, clean.
+# Targets: all, check, check-asan, demo, demo-sessions, bench, format,
+# format-check, lint, clean.
 CC = gcc
 BUILD = build
 PACKAGES = apr-1 apr-util-1 libzmq glib-2.0 libcjson libprotobuf-c \
