--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -235,7 +235,7 @@
   size_t bytes_with_change;
   double cpu_time_us;
   double heartbeats = (double)INTERVALS * hosts;
-  double per_s = (double)CFS_US_PER_S / HEARTBEAT_US;
+  double heartbeats_per_s = (double)CFS_US_PER_S / HEARTBEAT_US;
 
   cpu_time_us = process_cpu_us ();
   for (int i = 0; i < INTERVALS; i++)
@@ -244,7 +244,8 @@
   report_for_size (b, hosts, "leader's time a heartbeat",
                    cpu_time_us / heartbeats, "us");
   report_for_size (b, hosts, "leader's share of a core",
-                   cpu_time_us / heartbeats * hosts * per_s / 1e4, "%");
+                   cpu_time_us / heartbeats * hosts * heartbeats_per_s / 1e4,
+                   "%");
   report_for_size (b, hosts, "memory of state and leader", memory / 1e6, "MB");
   report_for_size (b, hosts, "snapshot",
                    (double)cfs_state_serialize (&f->state, &snapshot) / 1e3,
@@ -252,7 +253,7 @@
   free (snapshot);
   if (hosts == HOSTS_MAX)
     bench_at_most (b, "400 hosts: control bytes a node",
-                   (double)bytes / heartbeats * per_s, "bytes/s",
+                   (double)bytes / heartbeats * heartbeats_per_s, "bytes/s",
                    HOST_BYTES_PER_S_MAX);
   f->directory[0] = 0;
   f->version[0] = 0;
--- a/bench/bench_failover.c
+++ b/bench/bench_failover.c
@@ -139,7 +139,7 @@
   struct bench_series leader_lost = { NULL, 0, 0 };
   struct bench_series gate_lost = { NULL, 0, 0 };
   struct bench_series reads = { NULL, 0, 0 };
-  struct bench_series unused = { NULL, 0, 0 };
+  struct bench_series ignored = { NULL, 0, 0 };
   struct bench_series lease_renewal = { NULL, 0, 0 };
   uint64_t promotions = 0;
 
@@ -149,8 +149,8 @@
 
       bench_add (&lease_renewal, gap / CFS_US_PER_MS);
       run_failure (seed, 0, false, &control_intact, &reads);
-      run_failure (seed, gap, false, &leader_lost, &unused);
-      run_failure (seed, 0, true, &gate_lost, &unused);
+      run_failure (seed, gap, false, &leader_lost, &ignored);
+      run_failure (seed, 0, true, &gate_lost, &ignored);
       promotions += false_promotions (seed, false);
       promotions += false_promotions (seed, true);
     }
@@ -172,7 +172,7 @@
   bench_end (&leader_lost);
   bench_end (&gate_lost);
   bench_end (&reads);
-  bench_end (&unused);
+  bench_end (&ignored);
   bench_end (&lease_renewal);
   return b.missed_bounds != 0;
 }
--- a/bench/bench_fair.c
+++ b/bench/bench_fair.c
@@ -19,6 +19,7 @@
 #define SERVICE_US 5000
 #define HOSTS 10
 #define SECONDS 30
+#define STEP_US 200
 /* Service times have a heavy tail: one statement in twenty takes ten times as
    long on average. */
 #define TAIL_SHARE 0.05
@@ -75,7 +76,7 @@
    teams. */
 static void
 run_servers (struct cfs_fair *f, struct server *servers, int64_t now,
-             struct bench_series *waits)
+             struct bench_series *response_times)
 {
   for (unsigned i = 0; i < SLOTS; i++)
     {
@@ -88,7 +89,7 @@
           struct job *j = servers[i].job;
 
           cfs_fair_done (f, &j->request, j->service_us);
-          bench_add (&waits[j->team],
+          bench_add (&response_times[j->team],
                      (double)(servers[i].busy_until - j->request.arrived_at)
                          / CFS_US_PER_MS);
           free (j);
@@ -109,32 +110,33 @@
 {
   struct cfs_fair f;
   struct server servers[SLOTS] = { { NULL, 0 } };
-  struct bench_series waits[TEAMS] = { { NULL, 0, 0 } };
-  double next[TEAMS] = { 0 };
-  double mean = SERVICE_US * TEAMS / (SLOTS * 0.5);
+  struct bench_series response_times[TEAMS] = { { NULL, 0, 0 } };
+  double next_arrival[TEAMS] = { 0 };
+  double interarrival_us = SERVICE_US * TEAMS / (SLOTS * 0.5);
   double worst = 0;
 
   cfs_fair_init (&f, policy);
-  for (int64_t now = 0; now < SECONDS * CFS_US_PER_S; now += 200)
+  for (int64_t now = 0; now < SECONDS * CFS_US_PER_S; now += STEP_US)
     {
       for (unsigned t = 0; t < TEAMS; t++)
-        while (next[t] <= (double)now)
+        while (next_arrival[t] <= (double)now)
           {
             struct job *j = new_job (t, now, &seed);
 
             if (cfs_fair_push (&f, CFS_LANE_READ, &j->request) != CFS_OK)
               free (j);
-            next[t] += bench_exponential (&seed, t ? mean : mean / factor);
+            next_arrival[t] += bench_exponential (
+                &seed, t ? interarrival_us : interarrival_us / factor);
           }
-      run_servers (&f, servers, now, waits);
+      run_servers (&f, servers, now, response_times);
     }
   for (unsigned t = 0; t < TEAMS; t++)
     {
-      double p99 = bench_percentile (&waits[t], 0.99);
+      double p99 = bench_percentile (&response_times[t], 0.99);
 
       if (t && p99 > worst)
         worst = p99;
-      bench_end (&waits[t]);
+      bench_end (&response_times[t]);
     }
   for (struct cfs_request *r;
        (r = cfs_fair_pop (&f, CFS_LANE_READ, accept_any, NULL));)
@@ -165,18 +167,18 @@
     bool present, running;
   } jobs[JOBS_MAX];
   unsigned running[HOSTS] = { 0 };
-  double next = 0;
-  double mean = SERVICE_US / (slots * 0.8);
+  double next_arrival = 0;
+  double interarrival_us = SERVICE_US / (slots * 0.8);
   size_t head = 0;
   size_t tail = 0;
 
   memset (jobs, 0, sizeof jobs);
-  for (int64_t now = 0; now < 20 * CFS_US_PER_S; now += 200)
+  for (int64_t now = 0; now < 20 * CFS_US_PER_S; now += STEP_US)
     {
       unsigned total = 0;
       double progress_rate;
 
-      while (next <= (double)now && tail - head < JOBS_MAX)
+      while (next_arrival <= (double)now && tail - head < JOBS_MAX)
         {
           jobs[tail % JOBS_MAX].remaining_us = random_service_us (&seed);
           jobs[tail % JOBS_MAX].arrived_at = now;
@@ -185,7 +187,7 @@
           jobs[tail % JOBS_MAX].present = true;
           jobs[tail % JOBS_MAX].running = false;
           tail++;
-          next += bench_exponential (&seed, mean);
+          next_arrival += bench_exponential (&seed, interarrival_us);
         }
       for (unsigned q = 0; q < queues; q++)
         total += running[q];
@@ -203,7 +205,7 @@
             }
           if (!jobs[i % JOBS_MAX].running)
             continue;
-          jobs[i % JOBS_MAX].remaining_us -= 200 * progress_rate;
+          jobs[i % JOBS_MAX].remaining_us -= STEP_US * progress_rate;
           if (jobs[i % JOBS_MAX].remaining_us > 0)
             continue;
           bench_add (out, (double)(now - jobs[i % JOBS_MAX].arrived_at)
@@ -276,7 +278,7 @@
   struct world_gate *w = wg_new (3, NULL);
   struct overload_counts o = { 0, 0, 0 };
   uint64_t seed = 5;
-  double next = (double)w->now;
+  double next_arrival = (double)w->now;
   int64_t end = w->now + OVERLOAD_S * CFS_US_PER_S;
   double capacity = SLOTS * 1e6 / SLOW_SERVICE_US;
   const struct cfs_gate_stats *stats = cfs_gate_stats (w->hosts[0].gate);
@@ -287,11 +289,11 @@
     {
       double rate = w->now < end ? 3 * capacity : 0.5 * capacity;
 
-      while (next <= (double)w->now)
+      while (next_arrival <= (double)w->now)
         {
           wg_submit (w, "w", CFS_WRITE, "", "", false, "", 4 * CFS_US_PER_S,
                      0);
-          next += bench_exponential (&seed, 1e6 / rate);
+          next_arrival += bench_exponential (&seed, 1e6 / rate);
         }
       wg_run (w, WG_STEP_US);
     }
