--- a/bench/bench_capacity.c
+++ b/bench/bench_capacity.c
@@ -21,7 +21,13 @@
 #define HOST_BYTES_PER_S_MAX 17000
 #define INTERVALS 20
 
-/* Simulated hosts and one leader, whose log entries are applied at once. */
+/*
+ * struct fleet - simulated hosts and one leader, whose log entries are applied
+ * at once
+ * @directory: directory that each host has, from its last reply
+ * @version: version of the configuration that each host has
+ * @dead: hosts that send no heartbeats
+ */
 struct fleet
 {
   struct cfs_state state;
@@ -200,6 +206,7 @@
 
   for (unsigned i = 0; i < f->hosts; i += 3)
     f->dead[i] = true;
+  /* A lease counts as moved when its holder is alive. */
   do
     {
       sent += run_heartbeat_interval (f, false);
--- a/bench/bench_fair.c
+++ b/bench/bench_fair.c
@@ -25,6 +25,7 @@
 #define TAIL_SHARE 0.05
 #define TAIL_FACTOR 10
 
+/* A statement of a team with the time that it takes on the target. */
 struct job
 {
   struct cfs_request request;
@@ -32,6 +33,7 @@
   unsigned team;
 };
 
+/* One slot of the target; idle while @job is NULL. */
 struct server
 {
   struct job *job;
--- a/bench/bench_limit.c
+++ b/bench/bench_limit.c
@@ -1,13 +1,13 @@
 /*
  * Benchmark of the rate limiter with its clients on ten hosts.  The reference
  * is an ideal token bucket: a refusal is wrongful if the ideal bucket would
- * have admitted the request, and an admission is too many if the admissions
- * so far would have emptied the ideal bucket.
+ * have admitted the request, and an admission counts as over-admission if the
+ * admissions so far would have emptied the ideal bucket.
  *
  * A small and a large team send 0.9 times their rate, first without failures,
- * then with hosts that fail one at a time, the limiter's among them; then the
- * large team sends 8 times its rate.  Baseline: each host has a fixed tenth
- * of rate and burst, without messages.
+ * then with hosts that fail one at a time, the limiter's among them; then,
+ * also with failures, the large team sends 8 times its rate.  Baseline: each
+ * host has a fixed tenth of rate and burst, without messages.
  */
 #include "../tests/world/limit.h"
 #include "common.h"
@@ -21,6 +21,14 @@
    any host. */
 #define BUSIEST_HOST_SHARE 0.4
 
+/*
+ * struct limit_result - counts of one run
+ * @within: requests that the ideal bucket admits
+ * @wrongful: those of them that were refused
+ * @over: admissions beyond the ideal bucket
+ * @worst_wait_ms: longest time from arrival to admission
+ * @messages_per_request: messages between clients and limiter per request
+ */
 struct limit_result
 {
   uint64_t within, wrongful, over;
--- a/bench/bench_route.c
+++ b/bench/bench_route.c
@@ -52,6 +52,9 @@
   bench_end (&writes);
 }
 
+/* Runs the load with one policy: @wait lets reads wait for a replica,
+   @ack_primary acknowledges writes at the primary, @slots are those of each
+   instance. */
 static struct route_result
 run_policy (bool wait, bool ack_primary, unsigned slots, uint64_t seed)
 {
