--- a/src/connection/http.c
+++ b/src/connection/http.c
@@ -316,25 +316,26 @@
 
 void
 cfs_http_respond (struct cfs_http_request *req,
-                  const struct cfs_http_response *a)
+                  const struct cfs_http_response *response)
 {
-  const char *body = a->body ? a->body : "";
+  const char *body = response->body ? response->body : "";
   char number[16];
 
-  req->status = a->status;
+  req->status = response->status;
   req->response = MHD_create_response_from_buffer (strlen (body), (void *)body,
                                                    MHD_RESPMEM_MUST_COPY);
   MHD_add_response_header (req->response, "Content-Type",
-                           a->type ? a->type : "application/json");
-  if (a->session && *a->session)
-    add_session_headers (req->response, a->session);
-  if (a->etag)
-    MHD_add_response_header (req->response, "ETag", a->etag);
-  if (a->location)
-    MHD_add_response_header (req->response, "Location", a->location);
-  if (a->retry_after)
+                           response->type ? response->type
+                                          : "application/json");
+  if (response->session && *response->session)
+    add_session_headers (req->response, response->session);
+  if (response->etag)
+    MHD_add_response_header (req->response, "ETag", response->etag);
+  if (response->location)
+    MHD_add_response_header (req->response, "Location", response->location);
+  if (response->retry_after)
     {
-      g_snprintf (number, sizeof number, "%u", a->retry_after);
+      g_snprintf (number, sizeof number, "%u", response->retry_after);
       MHD_add_response_header (req->response, "Retry-After", number);
     }
   if (req->http->quiesced)
--- a/src/connection/pg.c
+++ b/src/connection/pg.c
@@ -504,13 +504,13 @@
 /* Passes the result to the gate, which may start new work on the connection
    from within the call. */
 static void
-report_result (struct pg_conn *c, enum cfs_work_status ran, bool clean)
+report_result (struct pg_conn *c, enum cfs_work_status status, bool clean)
 {
   struct cfs_work_result out = c->result;
 
-  out.status = ran;
+  out.status = status;
   out.clean = clean;
-  if (ran == WORK_STATUS_ERROR && c->error)
+  if (status == WORK_STATUS_ERROR && c->error)
     {
       free (out.body);
       out.body = pg_error_body (c->sqlstate, c->error);
--- a/src/connection/session_run.c
+++ b/src/connection/session_run.c
@@ -117,7 +117,7 @@
 static void
 prepare_conn (struct cfs_session *s)
 {
-  struct conn_setup u = { .count = 0 };
+  struct conn_setup setup = { .count = 0 };
   int64_t now = session_now (s);
 
   if (!session_key_valid (s, now))
@@ -126,23 +126,23 @@
       return;
     }
   s->op.begins_tx = false;
-  session_build_setup (s, &u);
-  if (u.count == SETUP_MAX)
+  session_build_setup (s, &setup);
+  if (setup.count == SETUP_MAX)
     {
       cfs_pool_close_conn (s->conn);
       s->conn = NULL;
       session_reply (s, REPLY_FAILED, "too many session variables");
       return;
     }
-  if (u.count == 0)
+  if (setup.count == 0)
     {
       send_statement (s, now);
       return;
     }
   s->op.phase = OP_SETUP;
-  s->op.setup_pending = (unsigned)u.count;
+  s->op.setup_pending = (unsigned)setup.count;
   s->op.opened_at = now;
-  cfs_pooled_conn_send (s->conn, u.statements, u.count, now);
+  cfs_pooled_conn_send (s->conn, setup.statements, setup.count, now);
 }
 
 static void
--- a/src/connection/session_setup.c
+++ b/src/connection/session_setup.c
@@ -32,16 +32,16 @@
 }
 
 static void
-add_statement (struct conn_setup *u, const struct cfs_statement *statement)
+add_statement (struct conn_setup *setup, const struct cfs_statement *statement)
 {
-  if (u->count < SETUP_MAX)
-    u->statements[u->count++] = *statement;
+  if (setup->count < SETUP_MAX)
+    setup->statements[setup->count++] = *statement;
 }
 
 /* A connection on which a variable is set that the session does not have is
    reset: there is no statement that unsets a single variable. */
 static void
-add_reset (struct cfs_session *s, struct conn_setup *u)
+add_reset (struct cfs_session *s, struct conn_setup *setup)
 {
   struct cfs_statement reset = { .verb = VERB_RESET };
   GHashTable *conn_values = cfs_pooled_conn_values (s->conn);
@@ -52,7 +52,7 @@
   while (g_hash_table_iter_next (&i, &name, NULL))
     if (!g_hash_table_contains (s->values, name))
       {
-        add_statement (u, &reset);
+        add_statement (setup, &reset);
         g_hash_table_remove_all (conn_values);
         g_hash_table_remove_all (cfs_pooled_conn_prepared (s->conn));
         return;
@@ -60,7 +60,7 @@
 }
 
 static void
-add_values (struct cfs_session *s, struct conn_setup *u)
+add_values (struct cfs_session *s, struct conn_setup *setup)
 {
   GHashTable *conn_values = cfs_pooled_conn_values (s->conn);
   GHashTableIter i;
@@ -76,13 +76,13 @@
 
       if (current && strcmp (current, value) == 0)
         continue;
-      add_statement (u, &set);
+      add_statement (setup, &set);
       g_hash_table_replace (conn_values, g_strdup (name), g_strdup (value));
     }
 }
 
 static void
-add_prepare (struct cfs_session *s, struct conn_setup *u)
+add_prepare (struct cfs_session *s, struct conn_setup *setup)
 {
   GHashTable *conn_prepared = cfs_pooled_conn_prepared (s->conn);
   const struct prepared *p;
@@ -91,18 +91,18 @@
   if (s->op.statement.verb != VERB_EXECUTE)
     return;
   p = session_find_prepared (s, s->op.statement.name);
-  session_prepared_name (p, u->prepared_name);
-  if (g_hash_table_contains (conn_prepared, u->prepared_name))
+  session_prepared_name (p, setup->prepared_name);
+  if (g_hash_table_contains (conn_prepared, setup->prepared_name))
     return;
-  prepare.name = u->prepared_name;
+  prepare.name = setup->prepared_name;
   prepare.arg = p->query;
   prepare.writes = p->writes;
-  add_statement (u, &prepare);
-  g_hash_table_add (conn_prepared, g_strdup (u->prepared_name));
+  add_statement (setup, &prepare);
+  g_hash_table_add (conn_prepared, g_strdup (setup->prepared_name));
 }
 
 static void
-add_begin (struct cfs_session *s, struct conn_setup *u)
+add_begin (struct cfs_session *s, struct conn_setup *setup)
 {
   struct cfs_statement begin = { .verb = VERB_BEGIN };
 
@@ -113,16 +113,16 @@
       begin.verb = VERB_BEGIN_READ;
       begin.after = s->op.min_position;
     }
-  add_statement (u, &begin);
+  add_statement (setup, &begin);
   s->op.begins_tx = true;
 }
 
 void
-session_build_setup (struct cfs_session *s, struct conn_setup *u)
+session_build_setup (struct cfs_session *s, struct conn_setup *setup)
 {
   if (!s->tx_on_conn)
-    add_reset (s, u);
-  add_values (s, u);
-  add_prepare (s, u);
-  add_begin (s, u);
+    add_reset (s, setup);
+  add_values (s, setup);
+  add_prepare (s, setup);
+  add_begin (s, setup);
 }
--- a/src/connection/token.c
+++ b/src/connection/token.c
@@ -33,9 +33,9 @@
   size_t len = (size_t)snprintf (text, room, "%s\n", t->team);
 
   for (size_t i = 0; i < t->count; i++)
-    len += (size_t)snprintf (text + len, room - len,
-                             "%s %" PRIu64 " %" PRIu64 "\n", t->at[i].group,
-                             t->at[i].term, t->at[i].position);
+    len += (size_t)snprintf (
+        text + len, room - len, "%s %" PRIu64 " %" PRIu64 "\n",
+        t->entries[i].group, t->entries[i].term, t->entries[i].position);
   crypto_auth (data + len, data, len, key);
   sodium_bin2base64 (out, TOKEN_TEXT_MAX, data, len + crypto_auth_BYTES,
                      BASE64_VARIANT);
@@ -75,7 +75,7 @@
        line = strtok_r (NULL, "\n", &save))
     {
       if (t->count == TOKEN_GROUPS_MAX
-          || !parse_entry (line, &t->at[t->count]))
+          || !parse_entry (line, &t->entries[t->count]))
         return CFS_BAD;
       t->count++;
     }
@@ -109,8 +109,8 @@
 cfs_token_find (const struct cfs_token *t, const char *group)
 {
   for (size_t i = 0; i < t->count; i++)
-    if (strcmp (t->at[i].group, group) == 0)
-      return &t->at[i];
+    if (strcmp (t->entries[i].group, group) == 0)
+      return &t->entries[i];
   return NULL;
 }
 
@@ -127,7 +127,7 @@
     {
       if (t->count == TOKEN_GROUPS_MAX)
         return CFS_FULL;
-      e = &t->at[t->count++];
+      e = &t->entries[t->count++];
       cfs_copy (e->group, sizeof e->group, group);
       e->term = 0;
     }
--- a/src/connection/token.h
+++ b/src/connection/token.h
@@ -26,7 +26,7 @@
 struct cfs_token
 {
   char team[CFS_NAME_MAX];
-  struct cfs_token_entry at[TOKEN_GROUPS_MAX];
+  struct cfs_token_entry entries[TOKEN_GROUPS_MAX];
   size_t count;
 };
 
--- a/src/request/admit.c
+++ b/src/request/admit.c
@@ -39,13 +39,13 @@
 static void
 request_tokens (struct cfs_admit *a, struct cfs_admit_team *t, int64_t now)
 {
-  size_t want = t->waiting.count < TOKEN_REQUEST_MAX ? t->waiting.count
-                                                     : TOKEN_REQUEST_MAX;
+  size_t count = t->waiting.count < TOKEN_REQUEST_MAX ? t->waiting.count
+                                                      : TOKEN_REQUEST_MAX;
 
-  if (want == 0 || t->outstanding_id || t->tokens || now < t->next_request_at)
+  if (count == 0 || t->outstanding_id || t->tokens || now < t->next_request_at)
     return;
   t->outstanding_id = ++a->next_id;
-  t->outstanding_count = (uint32_t)want;
+  t->outstanding_count = (uint32_t)count;
   t->requested_at = now;
   a->ops->request_tokens (a->ctx, t->name, t->outstanding_id,
                           t->outstanding_count);
--- a/src/request/entry.c
+++ b/src/request/entry.c
@@ -41,25 +41,25 @@
                  enum cfs_code code, enum cfs_outcome outcome,
                  const char *detail, const char *session)
 {
-  struct cfs_http_response a = { .status = cfs_code_http (code),
-                                 .type = "application/problem+json",
-                                 .session = session };
+  struct cfs_http_response response = { .status = cfs_code_http (code),
+                                        .type = "application/problem+json",
+                                        .session = session };
   cJSON *doc = cJSON_CreateObject ();
   char *text;
 
   cJSON_AddStringToObject (doc, "type", "about:blank");
   cJSON_AddStringToObject (doc, "title", cfs_code_name (code));
-  cJSON_AddNumberToObject (doc, "status", a.status);
+  cJSON_AddNumberToObject (doc, "status", response.status);
   cJSON_AddStringToObject (doc, "code", cfs_code_name (code));
   cJSON_AddStringToObject (doc, "outcome", cfs_outcome_name (outcome));
   if (detail && *detail)
     cJSON_AddStringToObject (doc, "detail", detail);
   text = cJSON_PrintUnformatted (doc);
-  a.body = text;
-  if (a.status == HTTP_UNAVAILABLE || code == CFS_CODE_RATE_LIMITED)
-    a.retry_after = 1;
+  response.body = text;
+  if (response.status == HTTP_UNAVAILABLE || code == CFS_CODE_RATE_LIMITED)
+    response.retry_after = 1;
   e->response_counts[code]++;
-  cfs_http_respond (http, &a);
+  cfs_http_respond (http, &response);
   free (text);
   cJSON_Delete (doc);
 }
@@ -196,7 +196,8 @@
 void
 cfs_entry_free (struct cfs_entry *e)
 {
-  struct cfs_http_response gone = { .status = HTTP_UNAVAILABLE, .body = "{}" };
+  struct cfs_http_response unavailable
+      = { .status = HTTP_UNAVAILABLE, .body = "{}" };
 
   if (!e)
     return;
@@ -205,7 +206,7 @@
     entry_finish (e->requests, CFS_CODE_DRAINING, outcome_of (e->requests),
                   NULL);
   for (size_t i = 0; i < e->operator_request_count; i++)
-    cfs_http_respond (e->operator_requests[i].http, &gone);
+    cfs_http_respond (e->operator_requests[i].http, &unavailable);
   free (e->operator_requests);
   cfs_table_end (&e->sent_announcements);
   apr_pool_destroy (e->pool);
@@ -323,7 +324,7 @@
 static void
 respond_done (struct entry_request *er, const Cfs__Answer *in)
 {
-  struct cfs_http_response a = { .status = HTTP_OK };
+  struct cfs_http_response response = { .status = HTTP_OK };
   char session[TOKEN_TEXT_MAX];
   char *body;
 
@@ -336,10 +337,10 @@
     }
   cfs_token_write (&er->token, er->entry->token_key, session);
   body = make_body (er, in);
-  a.body = body;
-  a.session = session;
+  response.body = body;
+  response.session = session;
   er->entry->response_counts[CFS_CODE_OK]++;
-  cfs_http_respond (er->http, &a);
+  cfs_http_respond (er->http, &response);
   g_free (body);
   end_request (er);
 }
@@ -495,11 +496,12 @@
 static void
 respond_health (struct cfs_http_request *http, bool ok)
 {
-  struct cfs_http_response a = { .status = ok ? HTTP_OK : HTTP_UNAVAILABLE,
-                                 .type = "text/plain",
-                                 .body = ok ? "ok\n" : "not ready\n" };
+  struct cfs_http_response response
+      = { .status = ok ? HTTP_OK : HTTP_UNAVAILABLE,
+          .type = "text/plain",
+          .body = ok ? "ok\n" : "not ready\n" };
 
-  cfs_http_respond (http, &a);
+  cfs_http_respond (http, &response);
 }
 
 static void
@@ -507,7 +509,8 @@
 {
   const struct cfs_directory *d = e->setup.directory;
   GString *out = g_string_new (NULL);
-  struct cfs_http_response a = { .status = HTTP_OK, .type = "text/plain" };
+  struct cfs_http_response response
+      = { .status = HTTP_OK, .type = "text/plain" };
 
   for (int c = 0; c < CFS_CODE_COUNT; c++)
     g_string_append_printf (
@@ -520,8 +523,8 @@
                           e->open_count, d->conf ? d->conf->version : 0,
                           cfs_directory_has_lease (d, cfs_now ()));
   e->setup.metrics (e->setup.ctx, out);
-  a.body = out->str;
-  cfs_http_respond (http, &a);
+  response.body = out->str;
+  cfs_http_respond (http, &response);
   g_string_free (out, TRUE);
 }
 
--- a/src/request/entry_operator.c
+++ b/src/request/entry_operator.c
@@ -254,15 +254,16 @@
 void
 cfs_entry_operator_reply (struct cfs_entry *e, const Cfs__OperatorReply *in)
 {
-  struct cfs_http_response a = { .status = in->status, .body = in->body };
+  struct cfs_http_response response
+      = { .status = in->status, .body = in->body };
   char etag[32];
 
   g_snprintf (etag, sizeof etag, "\"%" PRIu64 "\"", in->version);
-  a.etag = etag;
+  response.etag = etag;
   for (size_t i = 0; i < e->operator_request_count; i++)
     if (e->operator_requests[i].id == in->id)
       {
-        cfs_http_respond (e->operator_requests[i].http, &a);
+        cfs_http_respond (e->operator_requests[i].http, &response);
         e->operator_requests[i]
             = e->operator_requests[--e->operator_request_count];
         return;
--- a/src/request/entry_statement.c
+++ b/src/request/entry_statement.c
@@ -327,9 +327,9 @@
 
   if (strcmp (cfs_http_request_method (http), allowed) != 0)
     {
-      struct cfs_http_response a = { .status = 405, .body = "{}" };
+      struct cfs_http_response response = { .status = 405, .body = "{}" };
 
-      cfs_http_respond (http, &a);
+      cfs_http_respond (http, &response);
       return;
     }
   if (!cfs_directory_has_lease (e->setup.directory, cfs_now ()))
--- a/src/request/gate_ack.c
+++ b/src/request/gate_ack.c
@@ -11,7 +11,7 @@
 /* Number of instances that have the current term's history up to @position,
    the primary included. */
 static unsigned
-count_holders (const struct cfs_gate *g, uint64_t position)
+count_replicated (const struct cfs_gate *g, uint64_t position)
 {
   int primary = gate_primary (g);
   unsigned n = 1;
@@ -38,7 +38,7 @@
     return false;
   if (g->ack_primary)
     return g->phase == PHASE_SERVING;
-  return count_holders (g, reply->position) >= gate_majority (g);
+  return count_replicated (g, reply->position) >= gate_majority (g);
 }
 
 /* Replies to a pending write or retries it, if its outcome is decided.
--- a/src/request/gates.c
+++ b/src/request/gates.c
@@ -62,7 +62,7 @@
   struct local_gate **gates;
   size_t count;
   size_t cap;
-  struct cfs_table limits;
+  struct cfs_table limiters;
   Cfs__GroupReport *reports;
   Cfs__GroupReport **report_list;
   Cfs__Release *releases;
@@ -162,7 +162,7 @@
   struct cfs_gates *g = cfs_alloc (sizeof *g);
 
   g->setup = *setup;
-  cfs_table_init (&g->limits, sizeof (struct local_limiter));
+  cfs_table_init (&g->limiters, sizeof (struct local_limiter));
   return g;
 }
 
@@ -183,7 +183,7 @@
   free (g->releases);
   free (g->release_list);
   free (g->release_names);
-  cfs_table_end (&g->limits);
+  cfs_table_end (&g->limiters);
   free (g);
 }
 
@@ -268,9 +268,9 @@
   bool own = cfs_directory_holds_lease (g->setup.directory, lease) && team;
   struct local_limiter *limiter;
 
-  if (!own && !cfs_table_find (&g->limits, name))
+  if (!own && !cfs_table_find (&g->limiters, name))
     return;
-  limiter = cfs_table_add (&g->limits, name);
+  limiter = cfs_table_add (&g->limiters, name);
   if (!own)
     limiter->epoch = 0;
   else if (limiter->epoch != lease->epoch)
@@ -409,7 +409,7 @@
 cfs_gates_grant_tokens (struct cfs_gates *g, const struct cfs_origin *from,
                         const Cfs__TokenAsk *in, int64_t now)
 {
-  struct local_limiter *limiter = cfs_table_find (&g->limits, in->team);
+  struct local_limiter *limiter = cfs_table_find (&g->limiters, in->team);
   Cfs__Peer out = CFS__PEER__INIT;
   Cfs__TokenGrant grant = CFS__TOKEN_GRANT__INIT;
   int64_t retry = 0;
@@ -465,7 +465,7 @@
 static void
 reserve_reports (struct cfs_gates *g)
 {
-  size_t need = g->count + g->limits.count;
+  size_t need = g->count + g->limiters.count;
 
   if (need <= g->report_cap)
     return;
@@ -525,9 +525,9 @@
   reserve_reports (g);
   for (size_t i = 0; i < g->count; i++)
     report_gate (g, g->gates[i], drain, out, now);
-  for (size_t i = 0; i < g->limits.count; i++)
+  for (size_t i = 0; i < g->limiters.count; i++)
     {
-      struct local_limiter *limiter = cfs_table_at (&g->limits, i);
+      struct local_limiter *limiter = cfs_table_at (&g->limiters, i);
 
       if (!drain || limiter->epoch == 0)
         continue;
@@ -574,9 +574,9 @@
           s->reads_primary, n, s->writes, n, s->submitted, n, s->sent, n,
           s->retries, n, s->refused, n, s->connects, n, s->promotions);
     }
-  for (size_t i = 0; i < g->limits.count; i++)
+  for (size_t i = 0; i < g->limiters.count; i++)
     {
-      const struct local_limiter *limiter = cfs_table_at (&g->limits, i);
+      const struct local_limiter *limiter = cfs_table_at (&g->limiters, i);
 
       g_string_append_printf (
           out, "coltsfootstage_limit_granted_total{team=\"%s\"} %" PRIu64 "\n",
--- a/src/request/limit.c
+++ b/src/request/limit.c
@@ -52,14 +52,14 @@
 }
 
 uint32_t
-cfs_bucket_take (struct cfs_bucket *b, uint32_t want, int64_t now,
+cfs_bucket_take (struct cfs_bucket *b, uint32_t requested, int64_t now,
                  int64_t *wait_us)
 {
   double ahead = b->rate * (double)GRANT_AHEAD_US / CFS_US_PER_S;
-  uint32_t granted = want;
+  uint32_t granted = requested;
 
   refill (b, now);
-  if (b->level + ahead < (double)want)
+  if (b->level + ahead < (double)requested)
     granted = b->level + ahead >= 1 ? (uint32_t)(b->level + ahead) : 0;
   b->level -= granted;
   *wait_us = 0;
--- a/src/request/limit.h
+++ b/src/request/limit.h
@@ -51,7 +51,7 @@
 /**
  * cfs_bucket_take() - grants tokens, in the order of the requests
  * @bucket: bucket
- * @want: number of tokens requested
+ * @requested: number of tokens requested
  * @now: current time
  * @wait_us: set to the time until the last granted token becomes valid or,
  * when none is granted, until one can be granted
@@ -60,9 +60,9 @@
  * GRANT_AHEAD_US.  So a host that requests earlier or more tokens waits no
  * longer than its position in the queue requires.
  *
- * Return: number of tokens granted, 0 to @want.
+ * Return: number of tokens granted, 0 to @requested.
  */
-uint32_t cfs_bucket_take (struct cfs_bucket *bucket, uint32_t want,
+uint32_t cfs_bucket_take (struct cfs_bucket *bucket, uint32_t requested,
                           int64_t now, int64_t *wait_us);
 
 #endif
--- a/src/request/quota.c
+++ b/src/request/quota.c
@@ -212,22 +212,22 @@
 {
   double ahead = (cfs_quota_demand (t, now) - t->share) * (double)PREFETCH_US
                  / CFS_US_PER_S;
-  uint32_t want = t->waiting;
-  uint32_t have;
+  uint32_t needed = t->waiting;
+  uint32_t covered;
 
   if (now < t->next_request_at)
     return 0;
   if (now >= t->outstanding_until)
     t->outstanding = 0;
-  if (want && ahead >= 1 && now - t->denied_at > PREFETCH_PAUSE_US)
-    want += (uint32_t)ahead;
-  have = t->outstanding + tokens_available (t, now);
-  if (want <= have)
+  if (needed && ahead >= 1 && now - t->denied_at > PREFETCH_PAUSE_US)
+    needed += (uint32_t)ahead;
+  covered = t->outstanding + tokens_available (t, now);
+  if (needed <= covered)
     return 0;
-  want -= have;
-  t->outstanding += want;
+  needed -= covered;
+  t->outstanding += needed;
   t->outstanding_until = now + REPLY_TIMEOUT_US;
-  return want;
+  return needed;
 }
 
 void
--- a/src/request/route.c
+++ b/src/request/route.c
@@ -8,11 +8,11 @@
 #include "gate_int.h"
 
 void
-route_add_sample (struct cfs_gate *g, uint64_t position, int64_t idx)
+route_add_sample (struct cfs_gate *g, uint64_t position, int64_t at)
 {
   struct primary_sample *s = &g->samples[g->sample_next];
 
-  s->at = idx;
+  s->at = at;
   s->position = position;
   g->sample_next = (g->sample_next + 1) % ROUTE_SAMPLES;
   if (g->sample_count < ROUTE_SAMPLES)
--- a/src/version/schema.c
+++ b/src/version/schema.c
@@ -66,22 +66,22 @@
 }
 
 static bool
-fail (struct validation *w, const char *found, const char *allowed)
+fail (struct validation *v, const char *found, const char *allowed)
 {
-  g_set_error (w->error, CFS_SCHEMA_ERROR, 0, "%s: %s: found %s, expected %s",
-               w->file, *w->path ? w->path : "document", found, allowed);
+  g_set_error (v->error, CFS_SCHEMA_ERROR, 0, "%s: %s: found %s, expected %s",
+               v->file, *v->path ? v->path : "document", found, allowed);
   return false;
 }
 
 static bool
-fail_field (struct validation *w, const struct cfs_field *f, const cJSON *json)
+fail_field (struct validation *v, const struct cfs_field *f, const cJSON *json)
 {
   char found[FOUND_MAX_BYTES];
   char allowed[128];
 
   describe_found (json, found, sizeof found);
   describe_allowed (f, allowed, sizeof allowed);
-  return fail (w, found, allowed);
+  return fail (v, found, allowed);
 }
 
 static bool
@@ -114,21 +114,21 @@
   return f->type != FIELD_HEX || has_only (s, "0123456789abcdef");
 }
 
-static bool check_object (struct validation *w, const cJSON *json,
+static bool check_object (struct validation *v, const cJSON *json,
                           const struct cfs_field *fields);
 
 static size_t
-push_path (struct validation *w, const char *name)
+push_path (struct validation *v, const char *name)
 {
-  size_t len = strlen (w->path);
+  size_t len = strlen (v->path);
 
-  g_snprintf (w->path + len, (gulong)(sizeof w->path - len), "%s%s",
+  g_snprintf (v->path + len, (gulong)(sizeof v->path - len), "%s%s",
               len ? "." : "", name);
   return len;
 }
 
 static bool
-check_children (struct validation *w, const cJSON *json,
+check_children (struct validation *v, const cJSON *json,
                 const struct cfs_field *f)
 {
   static const struct cfs_field key
@@ -143,20 +143,20 @@
     bool ok;
 
     g_snprintf (number, sizeof number, "%d", index++);
-    len = push_path (w, f->type == FIELD_MAP ? item->string : number);
+    len = push_path (v, f->type == FIELD_MAP ? item->string : number);
     if (f->type == FIELD_MAP && !text_allowed (&key, item->string))
-      return fail (w, "an invalid name",
+      return fail (v, "an invalid name",
                    "a name of 1 to 48 letters, digits, '-', '_' or '.'");
-    ok = check_object (w, item, f->children);
+    ok = check_object (v, item, f->children);
     if (!ok)
       return false;
-    w->path[len] = '\0';
+    v->path[len] = '\0';
   }
   return true;
 }
 
 static bool
-check_field (struct validation *w, const cJSON *json,
+check_field (struct validation *v, const cJSON *json,
              const struct cfs_field *f)
 {
   switch (f->type)
@@ -166,7 +166,7 @@
     case FIELD_ADDRESS:
     case FIELD_HEX:
       if (!cJSON_IsString (json) || !text_allowed (f, json->valuestring))
-        return fail_field (w, f, json);
+        return fail_field (v, f, json);
       return true;
     case FIELD_NUMBER:
     case FIELD_INTEGER:
@@ -174,20 +174,20 @@
           || json->valuedouble < f->min || json->valuedouble > f->max
           || (f->type == FIELD_INTEGER
               && floor (json->valuedouble) != json->valuedouble))
-        return fail_field (w, f, json);
+        return fail_field (v, f, json);
       return true;
     case FIELD_BOOL:
-      return cJSON_IsBool (json) || fail_field (w, f, json);
+      return cJSON_IsBool (json) || fail_field (v, f, json);
     case FIELD_OBJECT:
-      return check_object (w, json, f->children);
+      return check_object (v, json, f->children);
     case FIELD_MAP:
       if (!cJSON_IsObject (json))
-        return fail_field (w, f, json);
-      return check_children (w, json, f);
+        return fail_field (v, f, json);
+      return check_children (v, json, f);
     case FIELD_LIST:
       if (!cJSON_IsArray (json))
-        return fail_field (w, f, json);
-      return check_children (w, json, f);
+        return fail_field (v, f, json);
+      return check_children (v, json, f);
     case FIELD_ANY:
       return true;
     }
@@ -195,7 +195,7 @@
 }
 
 static bool
-check_object (struct validation *w, const cJSON *json,
+check_object (struct validation *v, const cJSON *json,
               const struct cfs_field *fields)
 {
   const cJSON *item;
@@ -204,26 +204,26 @@
   if (!cJSON_IsObject (json))
     {
       describe_found (json, found, sizeof found);
-      return fail (w, found, type_names[FIELD_OBJECT]);
+      return fail (v, found, type_names[FIELD_OBJECT]);
     }
   cJSON_ArrayForEach (item, json)
   {
     const struct cfs_field *f = fields;
-    size_t len = push_path (w, item->string);
+    size_t len = push_path (v, item->string);
 
     while (f->name && strcmp (f->name, item->string) != 0)
       f++;
     if (!f->name)
-      return fail (w, "an unknown field", "one of the documented fields");
-    if (!check_field (w, item, f))
+      return fail (v, "an unknown field", "one of the documented fields");
+    if (!check_field (v, item, f))
       return false;
-    w->path[len] = '\0';
+    v->path[len] = '\0';
   }
   for (const struct cfs_field *f = fields; f->name; f++)
     if (f->required && !cJSON_GetObjectItemCaseSensitive (json, f->name))
       {
-        push_path (w, f->name);
-        return fail_field (w, f, NULL);
+        push_path (v, f->name);
+        return fail_field (v, f, NULL);
       }
   return true;
 }
@@ -290,7 +290,7 @@
 cfs_schema_check (const cJSON *json, const struct cfs_field *fields,
                   const char *file, GError **error)
 {
-  struct validation w = { .file = file, .error = error };
+  struct validation v = { .file = file, .error = error };
 
-  return check_object (&w, json, fields);
+  return check_object (&v, json, fields);
 }
