--- a/src/request/entry_operator.c
+++ b/src/request/entry_operator.c
@@ -19,7 +19,7 @@
 #define ANNOUNCE_REFRESH_US (2 * CFS_US_PER_S)
 #define HTTP_OK 200
 #define HTTP_PRECONDITION_REQUIRED 428
-#define HTTP_METHOD 405
+#define HTTP_METHOD_NOT_ALLOWED 405
 #define END_FIELD                                                             \
   {                                                                           \
     NULL, FIELD_BOOL, 0, 0, NULL, false, NULL                                 \
@@ -193,7 +193,8 @@
 handle_config_request (struct cfs_entry *e, struct cfs_http_request *http)
 {
   const char *method = cfs_http_request_method (http);
-  struct cfs_http_response refused = { .status = HTTP_METHOD, .body = "{}" };
+  struct cfs_http_response refused
+      = { .status = HTTP_METHOD_NOT_ALLOWED, .body = "{}" };
   uint64_t version = 0;
   GError *error = NULL;
   cJSON *doc;
