--- a/src/connection/http.h
+++ b/src/connection/http.h
@@ -61,7 +61,7 @@
                                GError **error);
 
 /** cfs_http_free() - closes all connections; responses not yet sent are
- * dropped
+ * dropped, and requests without a response must not be used afterwards
  */
 void cfs_http_free (struct cfs_http *http);
 
--- a/src/connection/pg.c
+++ b/src/connection/pg.c
@@ -122,7 +122,7 @@
  * struct cfs_pg - see pg.h
  * @conns: connections by the gate's index, then one probe connection per
  * instance
- * @conn_used: one more than the highest index that the gate has used
+ * @conns_used: one more than the highest index that the gate has used
  */
 struct cfs_pg
 {
--- a/src/connection/pool.h
+++ b/src/connection/pool.h
@@ -67,7 +67,7 @@
  * callback follows in that case
  *
  * Return: the connection, or NULL if the instance is unknown, overloaded or
- * down.
+ * down, or if connecting failed immediately.
  */
 struct cfs_pooled_conn *
 cfs_pool_acquire (struct cfs_pool *pool, const char *target, const char *team,
@@ -84,7 +84,8 @@
 /**
  * cfs_pool_choose() - the instance with the lowest expected latency
  * @service: name of the group
- * @min_position: position that the instance's log must have reached
+ * @min_position: position that the instance's log must have reached; instances
+ * that were recently found to be behind it are skipped
  * @excluded: names of @excluded_count instances that were already tried
  *
  * Return: the target, or NULL if no instance is eligible at the moment.
@@ -95,7 +96,8 @@
                  const char (*excluded)[CFS_NAME_MAX], size_t excluded_count,
                  int64_t now);
 
-/** cfs_pool_primary() - the primary of a group, or NULL if unknown */
+/** cfs_pool_primary() - the primary of a group, or NULL if it is unknown or
+ * recently denied being the primary */
 const struct cfs_target *cfs_pool_primary (struct cfs_pool *pool,
                                            const char *service, int64_t now);
 
@@ -169,7 +171,8 @@
  * connection; same rules as for cfs_pooled_conn_values() */
 GHashTable *cfs_pooled_conn_prepared (struct cfs_pooled_conn *conn);
 
-/** cfs_pool_metrics() - appends the pool's metrics in text form */
+/** cfs_pool_metrics() - appends the pool's metrics in the Prometheus text
+ * format */
 void cfs_pool_metrics (const struct cfs_pool *pool, GString *out);
 
 #endif
--- a/src/connection/pool_int.h
+++ b/src/connection/pool_int.h
@@ -23,8 +23,8 @@
  * connection limit or overload
  * @overload_pause: backoff while the instance rejects work, 0 if it does not
  * @overload_until: end of the current backoff
- * @not_primary_until: until then, do not use the instance as primary
- * @down_until: until then, open no connection and choose it for no read
+ * @not_primary_until: until then, the instance is not used as primary
+ * @down_until: until then, no connection is opened and no read is routed to it
  * @down_pause: backoff after failed connections
  * @replied_at: time of the last reply
  * @failed_at: time of the last connection failure
@@ -85,7 +85,8 @@
 void target_note_overload (struct cfs_pool *pool, struct target_state *state,
                            int64_t now);
 
-/** target_note_latency() - records that a statement took @took_us */
+/** target_note_latency() - records that a statement succeeded after @took_us,
+ * which halves the overload backoff and resets the one for lagging behind */
 void target_note_latency (struct target_state *state, int64_t took_us,
                           int64_t now);
 
--- a/src/connection/sample.c
+++ b/src/connection/sample.c
@@ -39,7 +39,7 @@
  * struct service_samples - samples of one service
  * @next: index in the ring of the next sample
  * @last_read_at: time of the last read that needed a sample
- * @min_max_age_us: smallest maximum age that a read asked for
+ * @min_max_age_us: smallest maximum age that a read required
  * @team: team of the last such read
  * @conn: connection of the query under way, or NULL
  * @query_sent_at: when that query was sent, or its connection acquired
--- a/src/connection/session.h
+++ b/src/connection/session.h
@@ -53,8 +53,8 @@
 /** cfs_sessions_count() - number of open sessions */
 size_t cfs_sessions_count (const struct cfs_sessions *sessions);
 
-/** cfs_sessions_metrics() - appends the metrics of all sessions in text form
- */
+/** cfs_sessions_metrics() - appends the metrics of all sessions in the
+ * Prometheus text format */
 void cfs_sessions_metrics (const struct cfs_sessions *sessions, GString *out);
 
 /**
@@ -64,7 +64,8 @@
  * @key: the caller's API key; ignored on a route that needs none
  * @code: set to REPLY_OK; or to REPLY_BUSY if the host has no configuration
  * or no lease yet, in which case a session is returned and its admission is
- * reported later by the admitted callback; or to the reason for the refusal
+ * reported later by the admitted callback; or to the reason for the refusal,
+ * which is REPLY_BUSY after cfs_sessions_stop_accepting()
  *
  * Return: the session, freed by cfs_session_close() or when the sessions
  * close @caller; or NULL if the caller is refused.
--- a/src/connection/session_int.h
+++ b/src/connection/session_int.h
@@ -216,7 +216,8 @@
 void session_reply (struct cfs_session *session, enum cfs_reply_code code,
                     const char *text);
 
-/** session_forward_reply() - the same with a reply of an instance */
+/** session_forward_reply() - passes an instance's reply to the caller and
+ * clears the current statement */
 void session_forward_reply (struct cfs_session *session,
                             const struct cfs_reply *reply);
 
--- a/src/connection/session_stats.c
+++ b/src/connection/session_stats.c
@@ -10,6 +10,7 @@
 
 #define PART "session"
 
+/* Names of enum op_phase in log lines; "link" is OP_CONN. */
 static const char *const phase_names[]
     = { "none", "token", "position", "link", "opening", "setup", "run" };
 
--- a/src/connection/token.h
+++ b/src/connection/token.h
@@ -75,7 +75,8 @@
 /**
  * cfs_token_reset() - sets the position of a session, which may decrease
  *
- * Only for a session that was told that a change it had seen is lost.
+ * Only for a session that was told that a change it had seen is lost.  A token
+ * without an entry for the group is not changed.
  */
 void cfs_token_reset (struct cfs_token *token, const char *group,
                       uint64_t term, uint64_t position);
--- a/src/request/gate.c
+++ b/src/request/gate.c
@@ -114,8 +114,9 @@
   return s->conn >= 0;
 }
 
-/* Whether another request of the team with the same idempotency key is
-   running. */
+/* Whether a connection is running a request of the same team with the same
+   idempotency key.  A write that waits for replicas does not count: its key is
+   recorded at the primary. */
 static bool
 key_in_use (const struct cfs_gate *g, const struct cfs_request *r)
 {
@@ -387,7 +388,7 @@
   finish (g, &before, before.request, res, now);
 }
 
-/* Closes a connection.  Work in progress ends with an unknown outcome. */
+/* Closes a connection.  Work in progress ends with WORK_STATUS_UNKNOWN. */
 static void
 abort_conn (struct cfs_gate *g, unsigned c, int64_t now)
 {
--- a/src/request/gate.h
+++ b/src/request/gate.h
@@ -24,7 +24,7 @@
  * @probe_fast_interval_us: the same during a failover, and for replicas
  * while a write waits for them
  * @primary_timeout_us: time without a probe reply after which the primary
- * is considered failed
+ * is considered failed; also the timeout of a promotion
  * @former_primary_wait_us: time in which a failover waits for instances
  * other than the former primary
  * @replication_stall_us: time without progress of any replica after which
@@ -37,7 +37,8 @@
  * @primary_leave_timeout_us: maximum wait for the work of a leaving primary
  * @transaction_timeout_us: idle time after which a transaction is rolled back
  * @drain_transaction_idle_us: the same while the gate is draining
- * @overcommit_percent: statements admitted beyond the slots of an instance
+ * @overcommit_percent: statements admitted beyond the slots of an instance,
+ * in percent of the slots
  * @max_attempts: maximum number of times a request is sent
  * @retry_ratio: retry budget earned by each request
  * @retry_budget_max: maximum of the retry budget
@@ -119,7 +120,7 @@
  * @position: log position up to which everything is included
  * @position_max: for reads, log position after which nothing is included
  * @clean: whether the connection can be reused
- * @body: owned by the caller
+ * @body: result document or NULL; cfs_gate_work_done() takes ownership
  */
 struct cfs_work_result
 {
@@ -222,7 +223,9 @@
  * @gate: gate
  * @epoch: epoch of the lease, 0 to give up the gate
  *
- * Closes all connections and refuses the requests that are queued.
+ * Closes all connections, which ends the work in progress.  Queued requests
+ * are refused with CFS_CODE_MOVED, writes that wait for replicas get
+ * CFS_CODE_NO_LEASE.  A call with the current epoch has no effect.
  */
 void cfs_gate_assign (struct cfs_gate *gate, uint64_t epoch, int64_t now);
 
@@ -318,6 +321,7 @@
 /** cfs_gate_serving() - whether the gate currently accepts writes */
 bool cfs_gate_serving (const struct cfs_gate *gate, int64_t now);
 
+/** cfs_gate_stats() - counters of the gate, owned by it */
 const struct cfs_gate_stats *cfs_gate_stats (const struct cfs_gate *gate);
 
 /**
--- a/src/request/gate_int.h
+++ b/src/request/gate_int.h
@@ -222,7 +222,8 @@
  * enum route_token - validity of a session's position in the current term
  * @TOKEN_VALID: the position is part of the current history
  * @TOKEN_LOST: the position is after the start of a later term, so the
- * change that it stands for was discarded by a failover
+ * change that it stands for was discarded by a failover; or its term is older
+ * than the recorded branches, so that this cannot be excluded
  * @TOKEN_AHEAD: the position is of a term that this gate does not know yet
  */
 enum route_token
@@ -246,7 +247,7 @@
  * gate_reply() - completes a request
  *
  * CFS_NOT_RUN is replaced by CFS_UNKNOWN when an earlier attempt may have
- * taken effect.
+ * taken effect, except with CFS_CODE_SQL_ERROR.
  */
 void gate_reply (struct cfs_gate *gate, struct cfs_request *request,
                  enum cfs_code code, enum cfs_outcome outcome, void *body);
@@ -263,7 +264,8 @@
 /** gate_conn_limit() - maximum number of connections used for statements */
 unsigned gate_conn_limit (const struct gate_instance *instance);
 
-/** gate_conn_open() - opens a connection unless the limit is reached */
+/** gate_conn_open() - opens a connection, unless the limit is reached or the
+ * delay after a failed connection has not passed */
 void gate_conn_open (struct cfs_gate *gate, unsigned inst, int64_t now);
 
 /**
--- a/src/request/gates.h
+++ b/src/request/gates.h
@@ -30,7 +30,8 @@
 /** cfs_gates_free() - stops and frees all gates and rate limiters */
 void cfs_gates_free (struct cfs_gates *gates);
 
-/** cfs_gates_directory_changed() - applies leases, groups and instances */
+/** cfs_gates_directory_changed() - applies the leases and groups of the
+ * directory and the instances in @reply */
 void cfs_gates_directory_changed (struct cfs_gates *gates,
                                   const Cfs__HeartbeatReply *reply,
                                   int64_t now);
@@ -60,7 +61,9 @@
 void cfs_gates_report (struct cfs_gates *gates, bool drain,
                        Cfs__Heartbeat *out, int64_t now);
 
-/** cfs_gates_held_count() - number of gates whose lease is held */
+/** cfs_gates_held_count() - number of gates whose lease is assigned to this
+ * host and not released; rate limiters and the expiry of the lease are not
+ * considered */
 size_t cfs_gates_held_count (const struct cfs_gates *gates);
 
 /** cfs_gates_metrics() - appends metrics in the Prometheus text format */
--- a/src/request/limit.c
+++ b/src/request/limit.c
@@ -1,7 +1,7 @@
 /*
  * Tokens are granted to hosts in batches, on demand.  Leasing shares of the
  * rate to hosts would refuse requests of a team within its rate while demand
- * moves between hosts, and asking for every single request would cost one
+ * moves between hosts, and requesting each token separately would cost one
  * message per statement.  The level may become negative: tokens are then
  * granted in advance.  Granting only the tokens that are available gives each
  * host the same number under overload, however many requests wait there.
--- a/src/request/promote.c
+++ b/src/request/promote.c
@@ -1,10 +1,10 @@
 /*
  * Failover.  The gate itself stops executing writes first, so no other party
- * has to confirm a freeze.  The control group then grants a new term, which
- * nobody else can get.  The positions of enough instances show which one has
- * every acknowledged write, and that one is promoted.  Writes resume only
- * after the control group has recorded the term and the position at which it
- * starts.
+ * has to confirm a freeze.  The control group then grants a new term, and
+ * never grants the same term twice.  The positions of enough instances show
+ * which one has every acknowledged write, and that one is promoted.  Writes
+ * resume only after the control group has recorded the term and the position
+ * at which it starts.
  */
 #include "gate_int.h"
 
--- a/src/version/catalog.h
+++ b/src/version/catalog.h
@@ -121,7 +121,7 @@
 
 /**
  * cfs_catalog_seal() - sorts and validates a catalog; call it once, after all
- * entries were added
+ * entries were added and before any lookup
  * @catalog: catalog under construction
  *
  * Return: NULL, or a constant error message: a name occurs twice, or two teams
--- a/src/version/conf.c
+++ b/src/version/conf.c
@@ -14,8 +14,9 @@
 
 #define HASH_HEX_CHARS (2 * CFS_HASH_BYTES)
 #define CONF_FILE "configuration"
-/* Lifetime of a grant of tokens.  The burst must be at least the rate times
-   this. */
+/* Minimum burst, in seconds of the rate.  The lifetime of granted tokens is
+   shorter, so the token bucket of a team (request/limit.h) always has a
+   positive capacity. */
 #define MIN_BURST_SECONDS 0.1
 
 static const struct cfs_field key_fields[]
--- a/src/version/conf.h
+++ b/src/version/conf.h
@@ -89,7 +89,8 @@
  * cfs_conf_parse() - validates and parses a document
  * @document: JSON text
  * @version: version number of the document
- * @error: set on failure, see cfs_schema_check(); the file is "configuration"
+ * @error: set on failure, see cfs_schema_check(); the file name in the message
+ * is "configuration"
  *
  * Return: the version, freed by cfs_conf_free(), or NULL.
  */
--- a/src/version/schema.h
+++ b/src/version/schema.h
@@ -2,8 +2,8 @@
  * DOC: Validates JSON documents against tables of fields.
  *
  * Each table entry describes a field: name, type, range and unit.  An error
- * message gives the file, the path of the field, what was found and what is
- * allowed.
+ * message gives the file, the path of the field, what was found and what was
+ * expected.
  */
 #ifndef CFS_SCHEMA_H
 #define CFS_SCHEMA_H
