--- a/src/request/entry_operator.c
+++ b/src/request/entry_operator.c
@@ -130,7 +130,7 @@
   if (!key_matches (entry_bearer (http), e->setup.settings->announce_hash))
     {
       entry_problem (e, http, CFS_CODE_UNAUTHENTICATED, CFS_NOT_RUN,
-                     "missing or wrong key of targets");
+                     "the announcement key is missing or wrong");
       return;
     }
   doc = cfs_json_parse (cfs_http_request_body (http), "body", &error);
@@ -236,7 +236,7 @@
     }
   if (!key_matches (entry_bearer (http), e->setup.settings->operator_hash))
     entry_problem (e, http, CFS_CODE_UNAUTHENTICATED, CFS_NOT_RUN,
-                   "missing or wrong key of operators");
+                   "the operator key is missing or wrong");
   else if (strcmp (resource, "config") == 0)
     handle_config_request (e, http);
   else if (strcmp (resource, "drain") == 0)
--- a/src/request/entry_statement.c
+++ b/src/request/entry_statement.c
@@ -123,9 +123,8 @@
         problem = "body: sql: empty, or a type of statement that is not "
                   "allowed on a pooled connection";
       else if (!read_params (er, doc))
-        problem
-            = "body: params: expected a list of at most 64 strings, numbers, "
-              "booleans and nulls";
+        problem = "body: params: expected an array of at most 64 strings, "
+                  "numbers, booleans and nulls";
       else if (!read_mode (er, doc))
         problem = "body: mode: expected read or write";
       er->sql = cfs_strdup (cfs_json_string (doc, "sql", ""));
--- a/src/version/catalog.c
+++ b/src/version/catalog.c
@@ -109,7 +109,7 @@
   for (size_t i = 1; i < c->api_key_count; i++)
     if (strcmp (c->api_keys[i - 1].key, c->api_keys[i].key) == 0
         && c->api_keys[i - 1].team != c->api_keys[i].team)
-      return "two teams share a key";
+      return "two teams have the same API key";
   return NULL;
 }
 
--- a/src/version/schema.c
+++ b/src/version/schema.c
@@ -24,7 +24,7 @@
     = { "a string",
         "a name (letters, digits, '-', '_', '.')",
         "an IP address",
-        "hexadecimal digits",
+        "a lower-case hexadecimal string",
         "a number",
         "an integer",
         "true or false",
--- a/tests/unit/platform.c
+++ b/tests/unit/platform.c
@@ -95,7 +95,7 @@
                    "routes[].timeout_ms: must not be 0");
   expect_rejected ("\"timeout_ms\":1200,", "",
                    "routes[].timeout_ms: must be a number >= 0");
-  expect_rejected ("[\"k3\"]", "[\"k1\"]", "two teams share a key");
+  expect_rejected ("[\"k3\"]", "[\"k1\"]", "two teams have the same API key");
   expect_rejected ("bounded_staleness", "newest",
                    "routes[].type: missing or unknown");
   expect_rejected ("\"version\":7", "\"version\":7.5",
