--- a/src/connection/pg.c
+++ b/src/connection/pg.c
@@ -551,6 +551,9 @@
   send_steps (c, STAGE_ROLLBACK, rollback, 1);
 }
 
+/* Handles the end of the first pipeline of a unit of work.  If a write has a
+   result and an error, the error is that of COMMIT or of the position query
+   after it, so the outcome is not known. */
 static void
 after_work (struct pg_conn *c)
 {
--- a/src/connection/session_int.h
+++ b/src/connection/session_int.h
@@ -235,13 +235,15 @@
  * key by the configuration in force
  * @code: set to REPLY_OK or to the reason for the refusal
  *
- * Updates the session's route, service and team.
+ * An open route needs neither a lease nor a key.  Updates the session's route,
+ * service and team on success.
  */
 bool session_authorize (struct cfs_session *session, int64_t now,
                         enum cfs_reply_code *code);
 
 /** session_key_valid() - whether the API key still belongs to the session's
- * team, by a configuration that the host's lease allows it to use */
+ * team, by a configuration that the host's lease allows it to use; always true
+ * on an open route */
 bool session_key_valid (const struct cfs_session *session, int64_t now);
 
 /** session_find_prepared() - the session's prepared statement of that name, or
--- a/src/request/gate.h
+++ b/src/request/gate.h
@@ -120,7 +120,8 @@
  * @position: log position up to which everything is included
  * @position_max: for reads, log position after which nothing is included
  * @clean: whether the connection can be reused
- * @body: result document or NULL; cfs_gate_work_done() takes ownership
+ * @body: result document or NULL; owned by the gate until it passes it to the
+ * function reply or discard
  */
 struct cfs_work_result
 {
--- a/src/request/promote.c
+++ b/src/request/promote.c
@@ -65,6 +65,9 @@
          && reached > g->size - gate_majority (g);
 }
 
+/* Whether a failover is needed: the primary is unknown, has finished its work
+   before leaving or ran out of time for it, does not accept writes in the
+   current term, does not reply to probes, or has stopped replicating. */
 static bool
 primary_failed (struct cfs_gate *g, int64_t now)
 {
