--- a/src/connection/session.c
+++ b/src/connection/session.c
@@ -68,7 +68,7 @@
   if (!f->catalog)
     return false;
   route = cfs_catalog_route (f->catalog, s->database);
-  if (!cfs_fleet_leased (f, now) && !(route && route->open))
+  if (!cfs_fleet_has_lease (f, now) && !(route && route->open))
     return false;
   *code = REPLY_NO_DATABASE;
   if (!route)
@@ -93,7 +93,7 @@
 
   if (s->route.open)
     return true;
-  if (!cfs_fleet_leased (f, now))
+  if (!cfs_fleet_has_lease (f, now))
     return false;
   team = cfs_catalog_team_by_key (f->catalog, s->key);
   return team && strcmp (team->name, s->team) == 0;
@@ -109,7 +109,7 @@
            " leased=%d draining=%d",
            s->database, cfs_reply_name (code),
            f->catalog ? f->catalog->version : 0,
-           cfs_fleet_leased (f, session_now (s)), s->owner->draining);
+           cfs_fleet_has_lease (f, session_now (s)), s->owner->draining);
 }
 
 struct cfs_session *
--- a/src/connection/session_stats.c
+++ b/src/connection/session_stats.c
@@ -53,7 +53,7 @@
            cfs_reply_name (code), *op->target ? op->target : "-",
            op->min_position.term, op->min_position.number, op->attempts,
            phase_names[op->phase], cfs_reply_name (op->last_code),
-           f->catalog ? f->catalog->version : 0, cfs_fleet_leased (f, now),
+           f->catalog ? f->catalog->version : 0, cfs_fleet_has_lease (f, now),
            (now - op->arrived) / CFS_US_PER_MS);
 }
 
--- a/src/process/directory.c
+++ b/src/process/directory.c
@@ -53,11 +53,11 @@
       const Cfs__Assignment *a = r->assignments[i];
       struct cfs_lease *l = cfs_table_add (&d->leases, a->resource);
 
-      cfs_lease_load (l, a);
+      cfs_lease_from_message (l, a);
     }
   for (size_t i = 0; i < r->n_groups; i++)
-    cfs_group_load (cfs_table_add (&d->groups, r->groups[i]->name),
-                    r->groups[i]);
+    cfs_group_from_message (cfs_table_add (&d->groups, r->groups[i]->name),
+                            r->groups[i]);
   if (r->lease_until_us > d->lease_until)
     d->lease_until = r->lease_until_us;
   return changed;
--- a/src/process/fleet.c
+++ b/src/process/fleet.c
@@ -92,7 +92,7 @@
 }
 
 bool
-cfs_fleet_leased (const struct cfs_fleet *f, int64_t now)
+cfs_fleet_has_lease (const struct cfs_fleet *f, int64_t now)
 {
   return f->catalog && now < f->lease_until;
 }
--- a/src/process/fleet.h
+++ b/src/process/fleet.h
@@ -54,8 +54,8 @@
 bool cfs_fleet_update (struct cfs_fleet *fleet,
                        const Cfs__HeartbeatReply *reply);
 
-/** cfs_fleet_leased() - whether the lease of the configuration is valid */
-bool cfs_fleet_leased (const struct cfs_fleet *fleet, int64_t now);
+/** cfs_fleet_has_lease() - whether the lease of the configuration is valid */
+bool cfs_fleet_has_lease (const struct cfs_fleet *fleet, int64_t now);
 
 /** cfs_fleet_target() - finds a target that is not gone; NULL if there is none
  */
--- a/src/process/front.c
+++ b/src/process/front.c
@@ -67,7 +67,7 @@
 {
   const struct cfs_front *f = ctx;
 
-  return !f->draining && cfs_fleet_leased (&f->fleet, cfs_now ());
+  return !f->draining && cfs_fleet_has_lease (&f->fleet, cfs_now ());
 }
 
 static void
--- a/src/process/leader_reply.c
+++ b/src/process/leader_reply.c
@@ -45,7 +45,7 @@
           const struct cfs_version *v
               = &s->versions[s->version_count - need + i];
 
-          cfs_version_message (v, &b->versions[i]);
+          cfs_version_to_message (v, &b->versions[i]);
           b->version_list[i] = &b->versions[i];
         }
       b->msg.versions = b->version_list;
@@ -114,7 +114,7 @@
 
       if (lease->changed <= in->directory)
         continue;
-      cfs_lease_message (lease, &b->leases[b->msg.n_assignments]);
+      cfs_lease_to_message (lease, &b->leases[b->msg.n_assignments]);
       b->lease_list[b->msg.n_assignments] = &b->leases[b->msg.n_assignments];
       b->msg.n_assignments++;
     }
@@ -136,9 +136,9 @@
 
       if (g->changed <= in->directory)
         continue;
-      cfs_group_message (g, &b->groups[n],
-                         b->branches + n * STATE_BRANCHES_MAX,
-                         b->branch_list + n * STATE_BRANCHES_MAX);
+      cfs_group_to_message (g, &b->groups[n],
+                            b->branches + n * STATE_BRANCHES_MAX,
+                            b->branch_list + n * STATE_BRANCHES_MAX);
       b->group_list[n] = &b->groups[n];
       b->msg.n_groups++;
     }
--- a/src/process/state.c
+++ b/src/process/state.c
@@ -104,7 +104,7 @@
 }
 
 void
-cfs_lease_load (struct cfs_lease *l, const Cfs__Assignment *a)
+cfs_lease_from_message (struct cfs_lease *l, const Cfs__Assignment *a)
 {
   cfs_copy (l->holder, sizeof l->holder, a->holder);
   cfs_copy (l->address, sizeof l->address, a->address);
@@ -127,7 +127,7 @@
 
       if (a->epoch != l->epoch + 1)
         continue;
-      cfs_lease_load (l, a);
+      cfs_lease_from_message (l, a);
       l->changed = index;
       s->directory_index = index;
     }
@@ -290,7 +290,7 @@
 }
 
 void
-cfs_lease_message (const struct cfs_lease *l, Cfs__Assignment *a)
+cfs_lease_to_message (const struct cfs_lease *l, Cfs__Assignment *a)
 {
   cfs__assignment__init (a);
   a->resource = (char *)l->resource;
@@ -303,8 +303,8 @@
 }
 
 void
-cfs_group_message (const struct cfs_group *g, Cfs__Group *out,
-                   Cfs__Branch *branches, Cfs__Branch **list)
+cfs_group_to_message (const struct cfs_group *g, Cfs__Group *out,
+                      Cfs__Branch *branches, Cfs__Branch **list)
 {
   cfs__group__init (out);
   out->name = (char *)g->name;
@@ -325,7 +325,7 @@
 }
 
 void
-cfs_group_load (struct cfs_group *g, const Cfs__Group *in)
+cfs_group_from_message (struct cfs_group *g, const Cfs__Group *in)
 {
   size_t skip = 0;
 
@@ -413,7 +413,7 @@
     {
       Cfs__Version *v = &b->versions[i];
 
-      cfs_version_message (&s->versions[i], v);
+      cfs_version_to_message (&s->versions[i], v);
       b->version_list[i] = v;
     }
   for (size_t i = 0; i < s->result_count; i++)
@@ -434,14 +434,14 @@
 {
   for (size_t i = 0; i < s->leases.count; i++)
     {
-      cfs_lease_message (cfs_table_at (&s->leases, i), &b->leases[i]);
+      cfs_lease_to_message (cfs_table_at (&s->leases, i), &b->leases[i]);
       b->lease_list[i] = &b->leases[i];
     }
   for (size_t i = 0; i < s->groups.count; i++)
     {
-      cfs_group_message (cfs_table_at (&s->groups, i), &b->groups[i],
-                         b->branches + i * STATE_BRANCHES_MAX,
-                         b->branch_list + i * STATE_BRANCHES_MAX);
+      cfs_group_to_message (cfs_table_at (&s->groups, i), &b->groups[i],
+                            b->branches + i * STATE_BRANCHES_MAX,
+                            b->branch_list + i * STATE_BRANCHES_MAX);
       b->group_list[i] = &b->groups[i];
     }
   for (size_t i = 0; i < s->targets.count; i++)
@@ -459,7 +459,7 @@
 }
 
 void
-cfs_version_message (const struct cfs_version *v, Cfs__Version *out)
+cfs_version_to_message (const struct cfs_version *v, Cfs__Version *out)
 {
   cfs__version__init (out);
   out->number = v->number;
@@ -524,11 +524,12 @@
     add_result (s, m->results[i]->request_id, m->results[i]->status,
                 m->results[i]->version, m->results[i]->message);
   for (size_t i = 0; i < m->n_assignments; i++)
-    cfs_lease_load (cfs_table_add (&s->leases, m->assignments[i]->resource),
-                    m->assignments[i]);
+    cfs_lease_from_message (
+        cfs_table_add (&s->leases, m->assignments[i]->resource),
+        m->assignments[i]);
   for (size_t i = 0; i < m->n_groups; i++)
-    cfs_group_load (cfs_table_add (&s->groups, m->groups[i]->name),
-                    m->groups[i]);
+    cfs_group_from_message (cfs_table_add (&s->groups, m->groups[i]->name),
+                            m->groups[i]);
   for (size_t i = 0; i < m->n_targets; i++)
     cfs_target_from_message (cfs_table_add (&s->targets, m->targets[i]->id),
                              m->targets[i]);
--- a/src/process/state.h
+++ b/src/process/state.h
@@ -188,28 +188,31 @@
 const struct cfs_patch_result *
 cfs_state_find_result (const struct cfs_state *state, const char *request_id);
 
-/** cfs_lease_message() - fills a message with pointers into @lease */
-void cfs_lease_message (const struct cfs_lease *lease, Cfs__Assignment *out);
+/** cfs_lease_to_message() - fills a message with pointers into @lease */
+void cfs_lease_to_message (const struct cfs_lease *lease,
+                           Cfs__Assignment *out);
 
-/** cfs_lease_load() - copies a message into a lease, except for its name */
-void cfs_lease_load (struct cfs_lease *lease, const Cfs__Assignment *in);
+/** cfs_lease_from_message() - copies a message into a lease, except for its
+ * name */
+void cfs_lease_from_message (struct cfs_lease *lease,
+                             const Cfs__Assignment *in);
 
-/** cfs_version_message() - fills a message with pointers into @version */
-void cfs_version_message (const struct cfs_version *version,
-                          Cfs__Version *out);
+/** cfs_version_to_message() - fills a message with pointers into @version */
+void cfs_version_to_message (const struct cfs_version *version,
+                             Cfs__Version *out);
 
 /**
- * cfs_group_message() - fills a message with pointers into @group
+ * cfs_group_to_message() - fills a message with pointers into @group
  * @group: group
  * @out: message
  * @branches: space for STATE_BRANCHES_MAX messages, used by @out
  * @list: space for as many pointers, used by @out
  */
-void cfs_group_message (const struct cfs_group *group, Cfs__Group *out,
-                        Cfs__Branch *branches, Cfs__Branch **list);
+void cfs_group_to_message (const struct cfs_group *group, Cfs__Group *out,
+                           Cfs__Branch *branches, Cfs__Branch **list);
 
-/** cfs_group_load() - copies a message into a group, except for its name; of
- * the branches the last STATE_BRANCHES_MAX */
-void cfs_group_load (struct cfs_group *group, const Cfs__Group *in);
+/** cfs_group_from_message() - copies a message into a group, except for its
+ * name; of the branches the last STATE_BRANCHES_MAX */
+void cfs_group_from_message (struct cfs_group *group, const Cfs__Group *in);
 
 #endif
--- a/tests/world/control.c
+++ b/tests/world/control.c
@@ -384,8 +384,9 @@
   if (r->directory > a->directory)
     a->directory = r->directory;
   for (size_t i = 0; i < r->n_assignments; i++)
-    cfs_lease_load (cfs_table_add (&a->leases, r->assignments[i]->resource),
-                    r->assignments[i]);
+    cfs_lease_from_message (
+        cfs_table_add (&a->leases, r->assignments[i]->resource),
+        r->assignments[i]);
   if (r->granted && a->sent_at + LEASE_US > a->lease_until)
     a->lease_until = a->sent_at + LEASE_US;
   (void)w;
