--- a/src/process/control.c
+++ b/src/process/control.c
@@ -56,7 +56,7 @@
 }
 
 static const struct cfs_control_host *
-find_peer (const struct cfs_control *c, const char *host)
+find_control_host (const struct cfs_control *c, const char *host)
 {
   for (size_t i = 0; i < c->settings->control_count; i++)
     if (strcmp (c->settings->control[i].host, host) == 0)
@@ -68,7 +68,7 @@
 send_raft (void *ctx, const char *host, const Cfs__RaftMsg *msg)
 {
   const struct cfs_control *c = ctx;
-  const struct cfs_control_host *p = find_peer (c, host);
+  const struct cfs_control_host *p = find_control_host (c, host);
   Cfs__Peer out = CFS__PEER__INIT;
 
   out.body_case = CFS__PEER__BODY_RAFT;
@@ -204,15 +204,15 @@
 /* Replies to a patch once it is refused or in force, or when the time-out has
    passed or leadership is lost.  Returns whether it has replied. */
 static bool
-finish_patch (struct cfs_control *c, const struct pending_patch *p, bool ready,
-              int64_t now)
+finish_patch (struct cfs_control *c, const struct pending_patch *p,
+              bool confirmed, int64_t now)
 {
   const struct cfs_patch_result *r
       = cfs_state_find_result (&c->state, p->request_id);
   bool late = now - p->received_at > IN_FORCE_WAIT_US;
   bool in_force;
 
-  if (!r && (late || !ready))
+  if (!r && (late || !confirmed))
     {
       reply_operator (c, &p->origin, p->id, HTTP_UNAVAILABLE, 0, "{}");
       return true;
@@ -220,19 +220,19 @@
   if (!r)
     return false;
   in_force = cfs_leader_in_force (c->leader, r->version, now);
-  if (r->status == HTTP_OK && !in_force && !late && ready)
+  if (r->status == HTTP_OK && !in_force && !late && confirmed)
     return false;
   reply_patch (c, p, r, in_force);
   return true;
 }
 
 static void
-finish_patches (struct cfs_control *c, bool ready, int64_t now)
+finish_patches (struct cfs_control *c, bool confirmed, int64_t now)
 {
   size_t kept = 0;
 
   for (size_t i = 0; i < c->pending_count; i++)
-    if (finish_patch (c, &c->pending[i], ready, now))
+    if (finish_patch (c, &c->pending[i], confirmed, now))
       free (c->pending[i].request_id);
     else
       c->pending[kept++] = c->pending[i];
@@ -520,33 +520,34 @@
                  struct cfs_loop *loop, GError **error)
 {
   struct cfs_control *c = cfs_alloc (sizeof *c);
-  struct cfs_raft_initial_state boot = { .id = 0 };
+  struct cfs_raft_initial_state initial = { .id = 0 };
   uint64_t new_id;
 
   c->settings = settings;
   c->loop = loop;
   cfs_state_init (&c->state);
   randombytes_buf (&new_id, sizeof new_id);
-  randombytes_buf (&boot.seed, sizeof boot.seed);
-  boot.manages_voters = settings->uses_seeds;
+  randombytes_buf (&initial.seed, sizeof initial.seed);
+  initial.manages_voters = settings->uses_seeds;
   control_fleet_init (c);
   if (prepare_folder (settings, error))
-    c->disk = cfs_disk_open (settings->data_folder, &boot, new_id | 2, error);
+    c->disk
+        = cfs_disk_open (settings->data_folder, &initial, new_id | 2, error);
   if (!c->disk || !open_net (c, zmq, error))
     {
       cfs_control_free (c);
       return NULL;
     }
-  if (boot.snapshot.members.count == 0)
+  if (initial.snapshot.members.count == 0)
     {
-      if (boot.count == 0)
+      if (initial.count == 0)
         cfs_log (CFS_NOTICE, PART,
                  "data folder is new, requesting to join the control group");
-      bootstrap_members (settings, &boot.snapshot.members);
+      bootstrap_members (settings, &initial.snapshot.members);
     }
   c->audited_version = cfs_disk_last_audited_version (c->disk);
   c->leader = cfs_leader_new (&leader_ops, c, &c->state);
-  c->raft = cfs_raft_new (&raft_ops, c, &boot, settings->host, cfs_now ());
+  c->raft = cfs_raft_new (&raft_ops, c, &initial, settings->host, cfs_now ());
   return c;
 }
 
@@ -584,13 +585,13 @@
 void
 cfs_control_tick (struct cfs_control *c, int64_t now)
 {
-  bool ready;
+  bool confirmed;
 
   cfs_raft_tick (c->raft, now);
-  ready = cfs_raft_leader_confirmed (c->raft, now);
-  cfs_leader_tick (c->leader, ready, cfs_raft_commit_index (c->raft), now);
-  finish_patches (c, ready, now);
-  control_fleet_tick (c, ready, now);
+  confirmed = cfs_raft_leader_confirmed (c->raft, now);
+  cfs_leader_tick (c->leader, confirmed, cfs_raft_commit_index (c->raft), now);
+  finish_patches (c, confirmed, now);
+  control_fleet_tick (c, confirmed, now);
   log_role_change (c);
 }
 
--- a/src/process/control_client.c
+++ b/src/process/control_client.c
@@ -26,7 +26,7 @@
 /* After this time without a reply the loss of the control group is logged. */
 #define CONTROL_LOST_US (1500 * CFS_US_PER_MS)
 /* Maximum number of known control hosts: members and seeds. */
-#define PEERS_MAX 24
+#define CONTROL_HOSTS_MAX 24
 
 /**
  * struct forwarded_request - operator request without a reply so far
@@ -43,7 +43,7 @@
 /**
  * struct cfs_control_client - connection to the control group
  * @reply_received: the last heartbeat was replied to
- * @leader: index in @peers of the host to which messages are sent
+ * @leader: index in @hosts of the host to which messages are sent
  * @directory: log index of the newest routing data received
  * @report: sent with each heartbeat, or NULL
  * @uses: uses of teams for the next heartbeat, or NULL
@@ -62,8 +62,8 @@
   bool reply_received;
   bool control_lost;
   int64_t last_reply_at;
-  struct cfs_control_host peers[PEERS_MAX];
-  size_t peer_count;
+  struct cfs_control_host hosts[CONTROL_HOSTS_MAX];
+  size_t host_count;
   size_t leader;
   uint64_t members_hash;
   uint64_t version;
@@ -83,23 +83,23 @@
 select_next_host (struct cfs_control_client *c)
 {
   c->leader++;
-  if (c->leader >= c->peer_count)
+  if (c->leader >= c->host_count)
     c->leader = 0;
 }
 
 /* Control hosts that were found through seeds have their IP address as
    name. */
 static void
-add_peer (struct cfs_control_client *c, const char *name)
+add_host (struct cfs_control_client *c, const char *name)
 {
   struct cfs_control_host *p;
 
-  for (size_t i = 0; i < c->peer_count; i++)
-    if (strcmp (c->peers[i].host, name) == 0)
+  for (size_t i = 0; i < c->host_count; i++)
+    if (strcmp (c->hosts[i].host, name) == 0)
       return;
-  if (!c->settings->uses_seeds || c->peer_count == PEERS_MAX)
+  if (!c->settings->uses_seeds || c->host_count == CONTROL_HOSTS_MAX)
     return;
-  p = &c->peers[c->peer_count++];
+  p = &c->hosts[c->host_count++];
   cfs_copy (p->host, sizeof p->host, name);
   cfs_copy (p->address, sizeof p->address, name);
   p->port = c->settings->peer_port;
@@ -108,9 +108,9 @@
 static void
 select_host (struct cfs_control_client *c, const char *name)
 {
-  add_peer (c, name);
-  for (size_t i = 0; i < c->peer_count; i++)
-    if (strcmp (c->peers[i].host, name) == 0)
+  add_host (c, name);
+  for (size_t i = 0; i < c->host_count; i++)
+    if (strcmp (c->hosts[i].host, name) == 0)
       {
         c->leader = i;
         return;
@@ -120,18 +120,18 @@
 
 /* Replaces all known control hosts but the seeds with the members. */
 static void
-update_peers (struct cfs_control_client *c, const Cfs__HeartbeatReply *r)
+update_hosts (struct cfs_control_client *c, const Cfs__HeartbeatReply *r)
 {
   char leader[CFS_NAME_MAX];
 
   if (r->n_members == 0 || !c->settings->uses_seeds)
     return;
-  cfs_copy (leader, sizeof leader, c->peers[c->leader].host);
-  c->peer_count = 0;
+  cfs_copy (leader, sizeof leader, c->hosts[c->leader].host);
+  c->host_count = 0;
   for (size_t i = 0; i < r->n_members; i++)
-    add_peer (c, r->members[i]);
+    add_host (c, r->members[i]);
   for (size_t i = 0; i < c->settings->control_count; i++)
-    add_peer (c, c->settings->control[i].host);
+    add_host (c, c->settings->control[i].host);
   c->members_hash = r->members_hash;
   select_host (c, leader);
 }
@@ -139,7 +139,7 @@
 static int
 send_to_leader (struct cfs_control_client *c, const Cfs__Peer *msg)
 {
-  const struct cfs_control_host *p = &c->peers[c->leader];
+  const struct cfs_control_host *p = &c->hosts[c->leader];
 
   return cfs_net_send (c->net, p->address, p->port, msg);
 }
@@ -163,9 +163,9 @@
 }
 
 static void
-free_peer (Cfs__Peer *peer)
+free_message (Cfs__Peer *msg)
 {
-  cfs__peer__free_unpacked (peer, NULL);
+  cfs__peer__free_unpacked (msg, NULL);
 }
 
 static void
@@ -204,7 +204,7 @@
   cfs_log (
       CFS_WARNING, PART,
       "no reply from the control group, last tried host=%s silent_ms=%" PRId64,
-      c->peers[c->leader].host, (now - c->last_reply_at) / CFS_US_PER_MS);
+      c->hosts[c->leader].host, (now - c->last_reply_at) / CFS_US_PER_MS);
 }
 
 static void
@@ -212,7 +212,7 @@
 {
   if (c->control_lost)
     cfs_log (CFS_NOTICE, PART, "control group replies again, leader=%s",
-             c->peers[c->leader].host);
+             c->hosts[c->leader].host);
   c->control_lost = false;
   c->last_reply_at = now;
 }
@@ -264,7 +264,7 @@
   if (send_to_leader (c, &out) == CFS_OK)
     {
       free_announcements (c);
-      g_clear_pointer (&c->uses, free_peer);
+      g_clear_pointer (&c->uses, free_message);
     }
   else
     c->next_heartbeat_at = now + HEARTBEAT_URGENT_US;
@@ -341,10 +341,10 @@
   record_reply (c, now);
   if (r->directory > c->directory)
     c->directory = r->directory;
-  update_peers (c, r);
+  update_hosts (c, r);
   r->lease_until_us = lease_end (c, r);
   r->document = c->version != old_version ? c->document : (char *)"";
-  c->ops->renewed (c->ctx, r);
+  c->ops->heartbeat_replied (c->ctx, r);
   r->document = reply_document;
   if (c->version != old_version)
     cfs_log (CFS_INFO, PART, "configuration version %" PRIu64 " received",
@@ -389,7 +389,7 @@
   else if (msg->body_case == CFS__PEER__BODY_CALLED)
     handle_operator_reply (c, msg->called);
   else if (msg->body_case == CFS__PEER__BODY_TOKENS_GRANT)
-    c->ops->tokens (c->ctx, msg->tokens_grant);
+    c->ops->tokens_granted (c->ctx, msg->tokens_grant);
 }
 
 struct cfs_control_client *
@@ -410,9 +410,9 @@
   c->document = cfs_strdup ("{}");
   c->boot_id = boot_id;
   c->last_reply_at = cfs_now ();
-  c->peer_count = settings->control_count;
-  memcpy (c->peers, settings->control,
-          settings->control_count * sizeof c->peers[0]);
+  c->host_count = settings->control_count;
+  memcpy (c->hosts, settings->control,
+          settings->control_count * sizeof c->hosts[0]);
   c->net = cfs_net_new (&setup, loop);
   return c;
 }
@@ -427,7 +427,7 @@
   free_announcements (c);
   if (c->report)
     cfs__peer__free_unpacked (c->report, NULL);
-  g_clear_pointer (&c->uses, free_peer);
+  g_clear_pointer (&c->uses, free_message);
   cfs_net_free (c->net);
   free (c->requests);
   free (c->announcements);
@@ -447,7 +447,7 @@
     }
   if (report->heartbeat->n_uses)
     {
-      g_clear_pointer (&c->uses, free_peer);
+      g_clear_pointer (&c->uses, free_message);
       c->uses = report;
       c->next_heartbeat_at = 0;
       return;
--- a/src/process/control_client.h
+++ b/src/process/control_client.h
@@ -16,16 +16,16 @@
 
 /**
  * struct cfs_control_client_ops - callbacks with replies of the leader
- * @renewed: reply to a heartbeat: the lease and changes; the document, when
- * set, is the whole configuration and no patch
+ * @heartbeat_replied: reply to a heartbeat: the lease and changes; the
+ * document, when set, is the whole configuration and no patch
  * @operator_replied: reply to a forwarded operator request
- * @tokens: reply to a token request
+ * @tokens_granted: reply to a token request
  */
 struct cfs_control_client_ops
 {
-  void (*renewed) (void *ctx, Cfs__HeartbeatReply *reply);
+  void (*heartbeat_replied) (void *ctx, Cfs__HeartbeatReply *reply);
   void (*operator_replied) (void *ctx, Cfs__OperatorReply *reply);
-  void (*tokens) (void *ctx, Cfs__TokensGrant *grant);
+  void (*tokens_granted) (void *ctx, Cfs__TokensGrant *grant);
 };
 
 struct cfs_control_client;
--- a/src/process/control_fleet.c
+++ b/src/process/control_fleet.c
@@ -54,13 +54,13 @@
 /* If this host is still leader in the term in which it appended an entry, the
    committed entry at that index is the same one. */
 static void
-finish_waiters (struct cfs_control *c, bool ready, int64_t now)
+finish_waiters (struct cfs_control *c, bool confirmed, int64_t now)
 {
   struct fleet_state *f = &c->fleet;
   size_t kept = 0;
   bool is_leader = cfs_raft_role (c->raft) == RAFT_LEADER;
 
-  (void)ready;
+  (void)confirmed;
   for (size_t i = 0; i < f->waiter_count; i++)
     {
       struct commit_waiter *w = &f->waiters[i];
@@ -116,21 +116,21 @@
 }
 
 void
-control_fleet_tick (struct cfs_control *c, bool ready, int64_t now)
+control_fleet_tick (struct cfs_control *c, bool confirmed, int64_t now)
 {
   struct fleet_state *f = &c->fleet;
 
-  finish_waiters (c, ready, now);
-  if (ready && !f->is_leader)
+  finish_waiters (c, confirmed, now);
+  if (confirmed && !f->is_leader)
     {
       f->leader_since = now;
       f->heartbeats.count = 0;
     }
-  f->is_leader = ready;
-  if (ready)
+  f->is_leader = confirmed;
+  if (confirmed)
     drop_silent_targets (c, now);
   if (f->failover)
-    cfs_failover_tick (f->failover, ready, cfs_raft_commit_index (c->raft),
+    cfs_failover_tick (f->failover, confirmed, cfs_raft_commit_index (c->raft),
                        now);
 }
 
--- a/src/process/control_int.h
+++ b/src/process/control_int.h
@@ -88,6 +88,7 @@
 
 /** control_fleet_tick() - notifies waiters, drops silent targets, runs
  * failovers */
-void control_fleet_tick (struct cfs_control *control, bool ready, int64_t now);
+void control_fleet_tick (struct cfs_control *control, bool confirmed,
+                         int64_t now);
 
 #endif
--- a/src/process/failover.c
+++ b/src/process/failover.c
@@ -262,17 +262,17 @@
              int64_t now)
 {
   const struct cfs_target *primary = current_primary (m, f);
-  struct probe_summary c = failover_poll_instances (m, f, now);
+  struct probe_summary summary = failover_poll_instances (m, f, now);
   bool another_primary
-      = c.primary
-        && (!primary || strcmp (c.primary->target, primary->id) != 0);
+      = summary.primary
+        && (!primary || strcmp (summary.primary->target, primary->id) != 0);
 
-  if (another_primary && c.paused + 1 >= c.known)
+  if (another_primary && summary.paused + 1 >= summary.known)
     {
-      accept_primary (m, f, c.primary, now);
+      accept_primary (m, f, summary.primary, now);
       return;
     }
-  if (c.paused > 0 && c.paused + 1 >= c.known)
+  if (summary.paused > 0 && summary.paused + 1 >= summary.known)
     {
       send_promotion (m, f, choose_candidate (m, f, now), now);
       return;
@@ -280,7 +280,7 @@
   if (now - f->phase_started_at < PAUSE_TIMEOUT_US)
     return;
   log_missing_status (f);
-  if (f->promotion_sent || c.demoted || !primary
+  if (f->promotion_sent || summary.demoted || !primary
       || failover_reason (m, f, primary, now))
     {
       f->phase_started_at = now;
--- a/src/process/failover_probe.c
+++ b/src/process/failover_probe.c
@@ -261,7 +261,7 @@
 failover_poll_instances (struct cfs_failover_manager *m,
                          struct failover_state *f, int64_t now)
 {
-  struct probe_summary c = { 0, 0, false, NULL };
+  struct probe_summary summary = { 0, 0, false, NULL };
 
   update_probes (m, f);
   for (size_t i = 0; i < f->probe_count; i++)
@@ -274,17 +274,18 @@
 
       if (!*p->target)
         continue;
-      c.known++;
-      c.paused += fresh && p->paused;
-      c.demoted = c.demoted || p->demoted;
+      summary.known++;
+      summary.paused += fresh && p->paused;
+      summary.demoted = summary.demoted || p->demoted;
       if (p->demoted && f->pause_at > p->replied_at + REPLICATION_DRAIN_US)
         f->pause_at = p->replied_at + REPLICATION_DRAIN_US;
       if (fresh && p->status.primary
-          && (!c.primary || p->status.term > c.primary->status.term))
-        c.primary = p;
+          && (!summary.primary
+              || p->status.term > summary.primary->status.term))
+        summary.primary = p;
       query_instance (m, f, p, now);
     }
-  return c;
+  return summary;
 }
 
 /* The connections are closed later, once the replies have arrived. */
--- a/src/process/fleet.c
+++ b/src/process/fleet.c
@@ -41,7 +41,7 @@
     return true;
   if (!*r->document)
     return false;
-  decoded = f->decoder->read (r->document, r->version, &error);
+  decoded = f->decoder->decode (r->document, r->version, &error);
   if (!decoded)
     {
       cfs_log (CFS_ERR, PART,
--- a/src/process/fleet.h
+++ b/src/process/fleet.h
@@ -11,12 +11,12 @@
 
 /**
  * struct cfs_document_decoder - decoder of configuration documents
- * @read: returns a sealed catalog, or NULL with @error set
+ * @decode: returns a sealed catalog, or NULL with @error set
  */
 struct cfs_document_decoder
 {
-  struct cfs_catalog *(*read) (const char *document, uint64_t version,
-                               GError **error);
+  struct cfs_catalog *(*decode) (const char *document, uint64_t version,
+                                 GError **error);
 };
 
 /**
--- a/src/process/leader.c
+++ b/src/process/leader.c
@@ -248,7 +248,7 @@
     l->conf = cfs_conf_parse (l->state->document, l->state->version, NULL);
   else if (l->state->version)
     l->catalog
-        = l->decoder->read (l->state->document, l->state->version, NULL);
+        = l->decoder->decode (l->state->document, l->state->version, NULL);
 }
 
 static void
@@ -258,7 +258,7 @@
   l->releases.count = 0;
   l->assign_index = 0;
   l->grace_end = now + LEASE_WAIT_US;
-  l->led_since = now;
+  l->leader_since = now;
   cfs_shares_reset (&l->shares, now + l->share_wait_us);
 }
 
@@ -302,7 +302,7 @@
     {
       const struct cfs_host_record *r = cfs_table_at (hosts, i);
       const struct cfs_host *h = cfs_table_find (&l->hosts, r->name);
-      int64_t seen = h ? h->seen_at : l->led_since;
+      int64_t seen = h ? h->seen_at : l->leader_since;
 
       if (now - seen > SHARE_HOLDER_EXPIRY_US)
         {
@@ -498,16 +498,16 @@
 }
 
 void
-cfs_leader_tick (struct cfs_leader *l, bool ready, uint64_t applied,
+cfs_leader_tick (struct cfs_leader *l, bool confirmed, uint64_t applied,
                  int64_t now)
 {
   int64_t idle_since;
 
   l->applied = applied;
-  if (ready && !l->leading)
+  if (confirmed && !l->is_leader)
     start_leading (l, now);
-  l->leading = ready;
-  if (!ready)
+  l->is_leader = confirmed;
+  if (!confirmed)
     return;
   reload_conf (l);
   evict_expired (l, now);
@@ -524,7 +524,7 @@
 {
   struct cfs_host *h;
 
-  if (!l->leading || !*in->host)
+  if (!l->is_leader || !*in->host)
     return NULL;
   h = update_host (l, in, now);
   ensure_host_recorded (l, h, now);
@@ -547,7 +547,7 @@
 bool
 cfs_leader_in_force (const struct cfs_leader *l, uint64_t version, int64_t now)
 {
-  if (!l->leading || now < l->grace_end || l->state->version < version)
+  if (!l->is_leader || now < l->grace_end || l->state->version < version)
     return false;
   for (size_t i = 0; i < l->hosts.count; i++)
     {
--- a/src/process/leader.h
+++ b/src/process/leader.h
@@ -142,12 +142,12 @@
 /**
  * cfs_leader_tick() - makes due decisions; call at least every 100 ms
  * @leader: leader
- * @ready: whether cfs_raft_leader_confirmed() is true at @now
+ * @confirmed: whether cfs_raft_leader_confirmed() is true at @now
  * @applied: index of the last log entry applied to the replicated state
  * @now: current time
  */
-void cfs_leader_tick (struct cfs_leader *leader, bool ready, uint64_t applied,
-                      int64_t now);
+void cfs_leader_tick (struct cfs_leader *leader, bool confirmed,
+                      uint64_t applied, int64_t now);
 
 /**
  * cfs_leader_heartbeat() - handles the heartbeat of a host
@@ -203,7 +203,7 @@
  * Return: the grant, valid until the next call.
  */
 const Cfs__TokensGrant *cfs_leader_grant_tokens (struct cfs_leader *leader,
-                                                 const Cfs__TokensAsk *ask,
+                                                 const Cfs__TokensAsk *request,
                                                  int64_t now);
 
 /** cfs_leader_catalog() - configuration of the last document, NULL if there is
--- a/src/process/leader_int.h
+++ b/src/process/leader_int.h
@@ -57,7 +57,7 @@
  * @hosts: table of struct cfs_host
  * @instances: table of struct cfs_instance
  * @releases: table of struct release
- * @leading: whether this host is the confirmed leader
+ * @is_leader: whether this host is the confirmed leader
  * @applied: index of the last log entry applied to @state
  * @assign_index: log index of the last assignments proposed
  * @grace_end: until then leases may be held that an earlier leader renewed
@@ -68,7 +68,7 @@
  * @conf_version: version that was loaded last
  * @share_wait_us: time after which a share of a silent host has certainly
  * expired
- * @led_since: time of the election
+ * @leader_since: time of the election
  * @holders_checked_at: time of the last check for expired share holders
  * @shares: shares and tokens of the teams
  * @members: members of the control group
@@ -82,7 +82,7 @@
   struct cfs_table hosts;
   struct cfs_table instances;
   struct cfs_table releases;
-  bool leading;
+  bool is_leader;
   uint64_t applied;
   uint64_t assign_index;
   int64_t grace_end;
@@ -92,7 +92,7 @@
   bool conf_loaded;
   uint64_t conf_version;
   int64_t share_wait_us;
-  int64_t led_since;
+  int64_t leader_since;
   int64_t holders_checked_at;
   struct cfs_shares shares;
   struct cfs_raft_membership members;
--- a/src/process/leader_reply.c
+++ b/src/process/leader_reply.c
@@ -170,7 +170,7 @@
 }
 
 static void
-reply_turns (struct cfs_leader *l, uint64_t have)
+reply_failovers (struct cfs_leader *l, uint64_t have)
 {
   const struct cfs_state *s = l->state;
   struct reply_buffers *b = &l->reply;
@@ -179,12 +179,12 @@
            sizeof *b->turns);
   for (size_t i = 0; i < s->failovers.count; i++)
     {
-      const struct cfs_failover *t = cfs_table_at (&s->failovers, i);
+      const struct cfs_failover *f = cfs_table_at (&s->failovers, i);
       size_t n = b->msg.n_turns;
 
-      if (t->changed <= have)
+      if (f->changed <= have)
         continue;
-      cfs_failover_to_message (t, &b->turns[n]);
+      cfs_failover_to_message (f, &b->turns[n]);
       b->turn_list[n] = &b->turns[n];
       b->msg.n_turns++;
     }
@@ -223,18 +223,18 @@
 }
 
 const Cfs__TokensGrant *
-cfs_leader_grant_tokens (struct cfs_leader *l, const Cfs__TokensAsk *ask,
+cfs_leader_grant_tokens (struct cfs_leader *l, const Cfs__TokensAsk *request,
                          int64_t now)
 {
   struct reply_buffers *b = &l->reply;
 
   cfs__tokens_grant__init (&b->tokens);
-  b->tokens.sent_at_us = ask->sent_at_us;
-  reserve (&b->teams, &b->team_list, &b->team_cap, ask->n_teams,
+  b->tokens.sent_at_us = request->sent_at_us;
+  reserve (&b->teams, &b->team_list, &b->team_cap, request->n_teams,
            sizeof *b->teams);
-  for (size_t i = 0; i < ask->n_teams; i++)
+  for (size_t i = 0; i < request->n_teams; i++)
     {
-      const Cfs__TeamTokens *in = ask->teams[i];
+      const Cfs__TeamTokens *in = request->teams[i];
       const struct cfs_team_limits *team
           = l->catalog ? cfs_catalog_team (l->catalog, in->team) : NULL;
       Cfs__TeamTokens *out = &b->teams[i];
@@ -249,7 +249,7 @@
       b->team_list[i] = out;
     }
   b->tokens.teams = b->team_list;
-  b->tokens.n_teams = ask->n_teams;
+  b->tokens.n_teams = request->n_teams;
   return &b->tokens;
 }
 
@@ -284,7 +284,7 @@
   if (!l->decoder)
     return;
   reply_targets (l, in->directory);
-  reply_turns (l, in->directory);
+  reply_failovers (l, in->directory);
   reply_shares (l, in, now);
   reply_members (l, in->members_hash);
   cfs_shares_extend (&l->shares, in->host, now + l->share_wait_us);
--- a/src/process/net.c
+++ b/src/process/net.c
@@ -205,13 +205,13 @@
 static void
 dispatch (struct cfs_net *n, const struct cfs_origin *from, zmq_msg_t *msg)
 {
-  Cfs__Peer *peer
+  Cfs__Peer *decoded
       = cfs_message_decode (zmq_msg_data (msg), zmq_msg_size (msg));
 
-  if (!peer)
+  if (!decoded)
     return;
-  n->setup.receive (n->setup.ctx, from, peer);
-  cfs__peer__free_unpacked (peer, NULL);
+  n->setup.receive (n->setup.ctx, from, decoded);
+  cfs__peer__free_unpacked (decoded, NULL);
 }
 
 static bool
--- a/src/process/node.c
+++ b/src/process/node.c
@@ -33,7 +33,7 @@
   struct cfs_zap_handler *zap;
   struct cfs_loop *loop;
   struct cfs_control *control;
-  struct cfs_control_client *agent;
+  struct cfs_control_client *control_client;
   apr_pool_t *apr_pool;
   volatile bool stop;
   uint64_t boot_id;
@@ -78,26 +78,26 @@
   cfs_thread_channel_send (((struct node *)ctx)->channel, &out);
 }
 
-static const struct cfs_control_client_ops agent_ops
+static const struct cfs_control_client_ops control_client_ops
     = { on_heartbeat_reply, on_operator_reply, on_token_grant };
 
 static void
 receive_from_traffic (struct node *n)
 {
-  Cfs__Peer *peer;
-
-  while ((peer = cfs_thread_channel_receive (n->channel)))
-    if (peer->body_case == CFS__PEER__BODY_HEARTBEAT)
-      cfs_control_client_report (n->agent, peer);
-    else if (peer->body_case == CFS__PEER__BODY_CALL)
-      cfs_control_client_forward (n->agent, peer, cfs_now ());
-    else if (peer->body_case == CFS__PEER__BODY_TOKENS_ASK)
+  Cfs__Peer *msg;
+
+  while ((msg = cfs_thread_channel_receive (n->channel)))
+    if (msg->body_case == CFS__PEER__BODY_HEARTBEAT)
+      cfs_control_client_report (n->control_client, msg);
+    else if (msg->body_case == CFS__PEER__BODY_CALL)
+      cfs_control_client_forward (n->control_client, msg, cfs_now ());
+    else if (msg->body_case == CFS__PEER__BODY_TOKENS_ASK)
       {
-        cfs_control_client_request_tokens (n->agent, peer);
-        cfs__peer__free_unpacked (peer, NULL);
+        cfs_control_client_request_tokens (n->control_client, msg);
+        cfs__peer__free_unpacked (msg, NULL);
       }
     else
-      cfs__peer__free_unpacked (peer, NULL);
+      cfs__peer__free_unpacked (msg, NULL);
 }
 
 static void *APR_THREAD_FUNC
@@ -111,12 +111,12 @@
       int64_t now;
 
       receive_from_traffic (n);
-      cfs_control_client_pump (n->agent);
+      cfs_control_client_pump (n->control_client);
       if (n->control)
         cfs_control_pump (n->control);
       cfs_loop_poll (n->loop, TICK_US);
       now = cfs_now ();
-      cfs_control_client_tick (n->agent, now);
+      cfs_control_client_tick (n->control_client, now);
       if (n->control)
         cfs_control_tick (n->control, now);
     }
@@ -139,7 +139,7 @@
 static void
 node_cleanup (struct node *n)
 {
-  cfs_control_client_free (n->agent);
+  cfs_control_client_free (n->control_client);
   cfs_control_free (n->control);
   cfs_thread_channel_free (n->channel);
   cfs_zap_handler_free (n->zap);
@@ -219,8 +219,8 @@
   ok = open_control (&n, error);
   if (ok)
     {
-      n.agent = cfs_control_client_new (&agent_ops, &n, settings, n.boot_id,
-                                        n.zmq, n.loop);
+      n.control_client = cfs_control_client_new (
+          &control_client_ops, &n, settings, n.boot_id, n.zmq, n.loop);
       ok = cfs_settings_serves_sessions (settings) ? serve_sessions (&n, error)
                                                    : serve_http (&n, error);
     }
--- a/src/process/settings.c
+++ b/src/process/settings.c
@@ -23,7 +23,7 @@
     NULL, FIELD_BOOL, 0, 0, NULL, false, NULL                                 \
   }
 
-static const struct cfs_field peer_fields[]
+static const struct cfs_field control_host_fields[]
     = { { "host", FIELD_NAME, 1, 48, NULL, true, NULL },
         { "address", FIELD_ADDRESS, 0, 0, NULL, true, NULL },
         { "port", FIELD_INTEGER, 1, 65535, NULL, true, NULL },
@@ -66,7 +66,7 @@
         { "max_body_bytes", FIELD_INTEGER, 1024, 16777216, "bytes", false,
           NULL },
         { "stop_seconds", FIELD_INTEGER, 1, 600, "s", false, NULL },
-        { "control", FIELD_LIST, 0, 0, NULL, false, peer_fields },
+        { "control", FIELD_LIST, 0, 0, NULL, false, control_host_fields },
         { "seeds", FIELD_ANY, 0, 0, NULL, false, NULL },
         { "first_start", FIELD_BOOL, 0, 0, NULL, false, NULL },
         { "zones", FIELD_ANY, 0, 0, NULL, false, NULL },
--- a/src/process/targets.c
+++ b/src/process/targets.c
@@ -52,23 +52,23 @@
 }
 
 void
-cfs_failover_to_message (const struct cfs_failover *t, Cfs__Turn *out)
+cfs_failover_to_message (const struct cfs_failover *f, Cfs__Turn *out)
 {
   cfs__turn__init (out);
-  out->service = (char *)t->service;
-  out->open = t->open;
-  out->target = (char *)t->target;
-  out->fence = t->fence;
-  out->changed = t->changed;
+  out->service = (char *)f->service;
+  out->open = f->open;
+  out->target = (char *)f->target;
+  out->fence = f->fence;
+  out->changed = f->changed;
 }
 
 void
-cfs_failover_from_message (struct cfs_failover *t, const Cfs__Turn *in)
+cfs_failover_from_message (struct cfs_failover *f, const Cfs__Turn *in)
 {
-  t->open = in->open;
-  cfs_copy (t->target, sizeof t->target, in->target);
-  t->fence = in->fence;
-  t->changed = in->changed;
+  f->open = in->open;
+  cfs_copy (f->target, sizeof f->target, in->target);
+  f->fence = in->fence;
+  f->changed = in->changed;
 }
 
 /* Only one instance can run at an address, so an earlier one there is gone. */
@@ -114,19 +114,19 @@
 cfs_failovers_apply (struct cfs_table *failovers, const Cfs__Turn *in,
                      uint64_t index)
 {
-  struct cfs_failover *t;
+  struct cfs_failover *f;
 
   if (!*in->service)
     return false;
-  t = cfs_table_add (failovers, in->service);
-  if (!in->open && (!t->open || t->fence != in->fence))
+  f = cfs_table_add (failovers, in->service);
+  if (!in->open && (!f->open || f->fence != in->fence))
     return false;
-  t->open = in->open;
+  f->open = in->open;
   if (in->open)
-    t->fence = index;
+    f->fence = index;
   else if (*in->target)
-    cfs_copy (t->target, sizeof t->target, in->target);
-  t->changed = index;
+    cfs_copy (f->target, sizeof f->target, in->target);
+  f->changed = index;
   return true;
 }
 
