--- a/tests/world/control.c
+++ b/tests/world/control.c
@@ -407,18 +407,18 @@
 static void
 check_invariants (struct world_control *w)
 {
-  int ready = 0;
+  int leaders = 0;
   int holders = 0;
 
   for (unsigned i = 0; i < WC_VOTERS; i++)
     {
       const struct wc_host *h = &w->hosts[i];
 
-      ready += h->alive && cfs_raft_leader_confirmed (h->raft, host_now (h));
+      leaders += h->alive && cfs_raft_leader_confirmed (h->raft, host_now (h));
     }
   for (unsigned i = 0; i < WC_AGENTS; i++)
     holders += wc_holds_lease (w, i, "gate/orders");
-  if (ready > 1)
+  if (leaders > 1)
     record_violation (w, "two confirmed leaders at the same time");
   if (holders > 1)
     record_violation (w, "two hosts hold the lease on gate/orders");
