--- a/tests/world/sessions.c
+++ b/tests/world/sessions.c
@@ -183,6 +183,9 @@
       conn->state = TX_FAILED;
 }
 
+/* Publishes the new primary in the fleet directory.  The change gets a log
+   index above those of the instances, as the latest event determines the
+   primary. */
 static void
 update_directory (struct world_sessions *w)
 {
@@ -264,7 +267,7 @@
   if (c->in_tx && conn->state != TX_OPEN)
     record_violation (w, "a statement ran outside its transaction");
   if (strcmp (c->value, conn->value) != 0)
-    record_violation (w, "a statement ran with other session variables");
+    record_violation (w, "a statement ran with wrong session variables");
   if (s->verb == VERB_EXECUTE
       && !has_prepared (conn, s->name, c->prepared_text))
     record_violation (w, "a prepared name referred to another statement");
