--- a/src/process/control.c
+++ b/src/process/control.c
@@ -68,13 +68,13 @@
 send_raft (void *ctx, const char *host, const Cfs__RaftMsg *msg)
 {
   const struct cfs_control *c = ctx;
-  const struct cfs_control_host *p = find_control_host (c, host);
+  const struct cfs_control_host *h = find_control_host (c, host);
   Cfs__Peer out = CFS__PEER__INIT;
 
   out.body_case = CFS__PEER__BODY_RAFT;
   out.raft = (Cfs__RaftMsg *)msg;
-  if (p)
-    cfs_net_send (c->net, p->address, p->port, &out);
+  if (h)
+    cfs_net_send (c->net, h->address, h->port, &out);
   else if (c->settings->uses_seeds)
     cfs_net_send (c->net, host, c->settings->peer_port, &out);
 }
--- a/src/process/control.h
+++ b/src/process/control.h
@@ -79,15 +79,15 @@
 /**
  * struct cfs_control_fleet_setup - callbacks of a control host that serves
  * sessions
- * @documents: decodes configuration documents of operators
- * @targets: opens connections to targets
+ * @decoder: decodes configuration documents of operators
+ * @adapter: opens connections to targets
  * @promote: requests the promotion of a target; the result is passed to
  * cfs_control_promotion_result()
  */
 struct cfs_control_fleet_setup
 {
-  const struct cfs_document_decoder *documents;
-  const struct cfs_target_adapter *targets;
+  const struct cfs_document_decoder *decoder;
+  const struct cfs_target_adapter *adapter;
   void (*promote) (void *ctx, const char *service, const char *target,
                    uint64_t fence);
   void *ctx;
--- a/src/process/control_client.c
+++ b/src/process/control_client.c
@@ -92,17 +92,17 @@
 static void
 add_host (struct cfs_control_client *c, const char *name)
 {
-  struct cfs_control_host *p;
+  struct cfs_control_host *h;
 
   for (size_t i = 0; i < c->host_count; i++)
     if (strcmp (c->hosts[i].host, name) == 0)
       return;
   if (!c->settings->uses_seeds || c->host_count == CONTROL_HOSTS_MAX)
     return;
-  p = &c->hosts[c->host_count++];
-  cfs_copy (p->host, sizeof p->host, name);
-  cfs_copy (p->address, sizeof p->address, name);
-  p->port = c->settings->peer_port;
+  h = &c->hosts[c->host_count++];
+  cfs_copy (h->host, sizeof h->host, name);
+  cfs_copy (h->address, sizeof h->address, name);
+  h->port = c->settings->peer_port;
 }
 
 static void
@@ -139,9 +139,9 @@
 static int
 send_to_leader (struct cfs_control_client *c, const Cfs__Peer *msg)
 {
-  const struct cfs_control_host *p = &c->hosts[c->leader];
+  const struct cfs_control_host *h = &c->hosts[c->leader];
 
-  return cfs_net_send (c->net, p->address, p->port, msg);
+  return cfs_net_send (c->net, h->address, h->port, msg);
 }
 
 static bool
--- a/src/process/control_fleet.c
+++ b/src/process/control_fleet.c
@@ -169,9 +169,9 @@
                          const struct cfs_control_fleet_setup *setup)
 {
   c->fleet.setup = *setup;
-  cfs_leader_set_document_decoder (c->leader, setup->documents,
+  cfs_leader_set_document_decoder (c->leader, setup->decoder,
                                    c->settings->document_lease_us);
-  c->fleet.failover = cfs_failover_new (&failover_ops, c, setup->targets,
+  c->fleet.failover = cfs_failover_new (&failover_ops, c, setup->adapter,
                                         &c->state, cfs_now);
 }
 
--- a/src/process/core.c
+++ b/src/process/core.c
@@ -69,14 +69,14 @@
 static void
 serve_fleet (struct core *c, const struct cfs_settings *settings)
 {
-  struct cfs_control_fleet_setup setup = { .documents = &document_decoder,
+  struct cfs_control_fleet_setup setup = { .decoder = &document_decoder,
                                            .promote = send_promotion_request,
                                            .ctx = c };
 
   c->adapter = instances_adapter_new (c->loop);
   c->promotion = promotion_client_new (settings->promotion_address,
                                        settings->host, on_promotion_result, c);
-  setup.targets = c->adapter;
+  setup.adapter = c->adapter;
   cfs_control_serve_fleet (c->control, &setup);
 }
 
--- a/src/process/settings.c
+++ b/src/process/settings.c
@@ -117,12 +117,12 @@
                  "control: the number of control hosts must be 1, 3, 5 or 7");
   cJSON_ArrayForEach (item, list)
   {
-    struct cfs_control_host *p = &s->control[s->control_count++];
+    struct cfs_control_host *h = &s->control[s->control_count++];
 
-    cfs_copy (p->host, sizeof p->host, cfs_json_string (item, "host", ""));
-    cfs_copy (p->address, sizeof p->address,
+    cfs_copy (h->host, sizeof h->host, cfs_json_string (item, "host", ""));
+    cfs_copy (h->address, sizeof h->address,
               cfs_json_string (item, "address", ""));
-    p->port = (uint32_t)cfs_json_number (item, "port", 0);
+    h->port = (uint32_t)cfs_json_number (item, "port", 0);
   }
   if (cfs_settings_is_control (s) && (!s->data_folder || !s->control_port))
     return fail (error, file,
@@ -151,15 +151,15 @@
 static bool
 add_seed (struct cfs_settings *s, const char *text)
 {
-  struct cfs_control_host *p = &s->control[s->control_count];
+  struct cfs_control_host *h = &s->control[s->control_count];
   const char *colon = text ? strchr (text, ':') : NULL;
 
   if (!colon || colon - text >= CFS_NAME_MAX
       || s->control_count == SETTINGS_CONTROL_MAX)
     return false;
-  memcpy (p->host, text, (size_t)(colon - text));
-  cfs_copy (p->address, sizeof p->address, p->host);
-  p->port = s->peer_port;
+  memcpy (h->host, text, (size_t)(colon - text));
+  cfs_copy (h->address, sizeof h->address, h->host);
+  h->port = s->peer_port;
   s->control_count++;
   return true;
 }
