--- a/src/cfs.h
+++ b/src/cfs.h
@@ -54,6 +54,21 @@
 
 /**
  * enum cfs_code - result code of a request, sent to clients by name
+ * @CFS_CODE_RATE_LIMITED: the team's rate is used up
+ * @CFS_CODE_OVERLOADED: the request cannot be queued, or would wait in the
+ * queue beyond its deadline
+ * @CFS_CODE_NO_LEASE: the lease of the host has expired
+ * @CFS_CODE_MOVED: the host does not hold the gate of the database group
+ * @CFS_CODE_NO_TARGET: no host holds the gate of the database group
+ * @CFS_CODE_WRITE_LOST: a change that the session has seen was lost in a
+ * failover
+ * @CFS_CODE_CONNECTION_LOST: the connection to the target, or the host that
+ * ran the request, was lost
+ * @CFS_CODE_SUPERSEDED: a failover happened before the write was acknowledged
+ * @CFS_CODE_TRANSACTION_LOST: the transaction does not exist any more
+ * @CFS_CODE_TRANSACTION_BUSY: another request of the transaction is running
+ * @CFS_CODE_KEY_REUSED: the idempotency key belongs to another statement
+ * @CFS_CODE_DRAINING: the host is shutting down
  */
 enum cfs_code
 {
--- a/src/command/command.h
+++ b/src/command/command.h
@@ -39,7 +39,7 @@
 /** command_patch() - submits a merge patch */
 int command_patch (int argc, char **argv);
 
-/** command_diff() - checks a merge patch and prints its changes */
+/** command_diff() - checks a merge patch and prints what it would change */
 int command_diff (int argc, char **argv);
 
 /** command_key() - creates and withdraws access keys */
--- a/src/command/operator.c
+++ b/src/command/operator.c
@@ -254,8 +254,8 @@
   return rc;
 }
 
-/* Creates a patch with an empty object at PATCH[kind][name] and returns that
-   object. */
+/* Creates a patch with an empty object under @name in @collection.  Returns
+   that object, which is owned by the patch. */
 static cJSON *
 add_named_object (cJSON **patch, const char *collection, const char *name)
 {
--- a/src/process/control_client.c
+++ b/src/process/control_client.c
@@ -323,6 +323,7 @@
 
   if (r->seq != c->seq)
     return;
+  /* The sender is not leader and knows of none. */
   if (!*r->leader && !r->granted && r->version == 0)
     {
       select_next_host (c);
--- a/src/process/control_client.h
+++ b/src/process/control_client.h
@@ -17,7 +17,8 @@
 /**
  * struct cfs_control_client_ops - callbacks with replies of the leader
  * @heartbeat_replied: reply to a heartbeat: the lease and changes; the
- * document, when set, is the whole configuration and no patch
+ * document, when set, is the whole configuration and no patch; lease_until_us
+ * is 0 if no lease was granted
  * @operator_replied: reply to a forwarded operator request
  * @tokens_granted: reply to a token request
  */
--- a/src/process/control_int.h
+++ b/src/process/control_int.h
@@ -87,7 +87,7 @@
 void control_fleet_end (struct cfs_control *control);
 
 /** control_fleet_tick() - notifies waiters, drops silent targets, runs
- * failovers */
+ * failovers; @confirmed as of cfs_leader_tick() */
 void control_fleet_tick (struct cfs_control *control, bool confirmed,
                          int64_t now);
 
--- a/src/process/core.c
+++ b/src/process/core.c
@@ -118,7 +118,8 @@
   cfs_control_tick (c->control, cfs_now ());
 }
 
-/* Passes this host's vote to a member without one, if there is any. */
+/* Asks the leader to replace this voter by a learner, and waits until that has
+   happened or the time is up. */
 static void
 leave_group (struct core *c)
 {
@@ -143,7 +144,7 @@
       while (!stop_requested)
         run_once (&c);
       leave_group (&c);
-      cfs_log (CFS_NOTICE, PART, "stops");
+      cfs_log (CFS_NOTICE, PART, "stopped");
     }
   cleanup (&c);
   return ok;
--- a/src/process/failover.h
+++ b/src/process/failover.h
@@ -56,6 +56,7 @@
 /**
  * cfs_failover_new() - creates a manager, inactive until its host is leader
  * @adapter: opens connections to instances
+ * @clock: returns the current time, as cfs_now()
  *
  * All arguments must outlive the manager.
  *
--- a/src/process/failover_int.h
+++ b/src/process/failover_int.h
@@ -132,7 +132,7 @@
 
 /**
  * struct probe_summary - statuses of a service's instances
- * @known: number of instances
+ * @known: number of known instances
  * @paused: number of paused replicas with a recent status
  * @demoted: an instance has confirmed its demotion
  * @primary: instance with the highest term that reports itself as primary,
--- a/src/process/file.h
+++ b/src/process/file.h
@@ -38,6 +38,7 @@
  * @len: set to the number of bytes read
  *
  * Return: data that the caller frees, or NULL if the file cannot be opened.
+ * After a read error the data ends early.
  */
 uint8_t *cfs_file_read (const char *folder, const char *file, size_t *len);
 
--- a/src/process/leader.c
+++ b/src/process/leader.c
@@ -397,8 +397,8 @@
 }
 
 /* Evaluates the first report of a host after the election.  A host that holds
-   no share has let no operation pass since its idle time began, and lets none
-   pass until it gets one. */
+   no share has admitted no operation since its idle time began, and admits
+   none until it gets one. */
 static void
 record_share_report (struct cfs_host *h, const Cfs__Heartbeat *in, int64_t now)
 {
--- a/src/process/leader.h
+++ b/src/process/leader.h
@@ -63,13 +63,13 @@
  * @seen_at: time of the last heartbeat
  * @lease_end: end of the lease of the running process
  * @old_boot_lease_end: latest end of a lease of its earlier processes
- * @draining: the host asked for no new assignments
+ * @draining: the host shuts down and gets no new assignments
  * @suspects: targets that the host cannot reach
  * @suspect_count: their number
  * @shares_reported: whether the host reported the shares that it holds, since
  * this leader's election
- * @idle_since: start of the time in which the host certainly let no operation
- * pass, by its first report; the time of the report if it holds a share
+ * @idle_since: time since which the host has certainly admitted no operation,
+ * according to its first report; the time of that report if it held a share
  * @recorded_at: time of the last proposal to record the host
  */
 struct cfs_host
@@ -164,10 +164,14 @@
                                                  int64_t now);
 
 /**
- * cfs_leader_in_force() - whether every host with a lease holds a version
+ * cfs_leader_in_force() - whether every host with a lease holds a version or a
+ * later one
  * @leader: leader
- * @version: configuration version, or a later one
+ * @version: configuration version
  * @now: current time
+ *
+ * False also if this host is not the leader, and while leases of an earlier
+ * leader may be valid.
  */
 bool cfs_leader_in_force (const struct cfs_leader *leader, uint64_t version,
                           int64_t now);
--- a/src/process/loop.h
+++ b/src/process/loop.h
@@ -29,7 +29,7 @@
 
 /**
  * cfs_loop_new() - creates a loop without watches
- * @parent: memory pool that owns the loop and ends it
+ * @parent: memory pool that owns the loop; destroying it ends the loop
  *
  * Return: the loop, or NULL when the system cannot provide one.
  */
--- a/src/process/node.h
+++ b/src/process/node.h
@@ -9,7 +9,8 @@
 /**
  * cfs_node_serve() - runs the host until SIGTERM or SIGINT
  * @settings: settings of the host
- * @error: set when the host cannot start
+ * @error: set when the host cannot start; stays NULL when a thread or a
+ * channel cannot be created
  *
  * Return: whether it started and shut down cleanly.
  */
--- a/src/process/raft.h
+++ b/src/process/raft.h
@@ -6,7 +6,7 @@
  * cfs_raft_ops.  It is not thread-safe; one thread owns an instance.
  *
  * A member is identified by a random 64-bit id.  A host that lost its disk
- * draws a new id, so that it never votes a second time under the id whose
+ * chooses a new id, so that it never votes a second time under the id whose
  * vote and log are gone.
  */
 #ifndef CFS_RAFT_H
@@ -26,8 +26,9 @@
 #define RAFT_DRIFT_PERCENT 2
 /* Number of applied entries at which a snapshot replaces them. */
 #define RAFT_SNAPSHOT_ENTRIES 512
-/* Their size in bytes at which a snapshot replaces them: an entry may hold a
-   whole configuration document, so a few entries can be large. */
+/* Total size of the applied entries in bytes at which a snapshot replaces
+   them: an entry may hold a whole configuration document, so a few entries can
+   be large. */
 #define RAFT_SNAPSHOT_BYTES (4u << 20)
 /* A voter that has not answered an append for this long may be replaced. */
 #define RAFT_VOTER_SILENT_US (2 * CFS_US_PER_S)
--- a/src/process/raft_int.h
+++ b/src/process/raft_int.h
@@ -10,14 +10,14 @@
 /**
  * enum raft_msg_type - value of RaftMsg.type
  * @MSG_PREVOTE: asks whether a vote for the sender would be granted
- * @MSG_PREVOTE_REPLY: answer to it
+ * @MSG_PREVOTE_REPLY: reply to it
  * @MSG_VOTE: requests a vote
- * @MSG_VOTE_REPLY: answer to it
+ * @MSG_VOTE_REPLY: reply to it
  * @MSG_APPEND: entries of the leader; without entries a heartbeat
- * @MSG_APPEND_REPLY: answer to an append or to a snapshot
+ * @MSG_APPEND_REPLY: reply to an append or to a snapshot
  * @MSG_SNAPSHOT: snapshot of the leader for a follower that is too far behind
- * @MSG_JOIN: a host that is no member asks to become one
- * @MSG_LEAVE: a voter asks to be replaced before it stops
+ * @MSG_JOIN: a host that is not a member requests to join
+ * @MSG_LEAVE: a voter requests its replacement before it stops
  */
 enum raft_msg_type
 {
@@ -41,7 +41,7 @@
  * the member answered
  * @sent_at: time of the last append or snapshot to it
  * @vote_granted: it granted its (pre-)vote in the election under way
- * @leaving: it asked to be replaced
+ * @leaving: it requested its replacement
  */
 struct raft_peer
 {
@@ -68,7 +68,8 @@
  * as one
  * @election_due_at: a voter starts a pre-vote at this time
  * @next_broadcast_at: the leader sends its next heartbeat at this time
- * @next_join_at: a host that is no member asks again at this time
+ * @next_join_at: a host that is not a member sends its next join request at
+ * this time
  * @term_start_index: index of the leader's first entry in its term
  * @seed: state of the random number generator
  * @surplus_voters_since: since when the group has had too many voters, or 0
--- a/src/process/shares.h
+++ b/src/process/shares.h
@@ -23,8 +23,8 @@
 #define SHARE_EXPIRY_US (SHARE_LEASE_US + SHARE_LEASE_US / 20)
 /* A granted token expires after this time. */
 #define TOKEN_LIFE_US (250 * CFS_US_PER_MS)
-/* Fraction of the rate that may be leased as shares.  A share of the rate
-   carries the same share of the burst. */
+/* Fraction of the rate that may be leased as shares.  The holder of a share
+   may use the same fraction of the burst as of the rate. */
 #define SHARED_FRACTION 0.5
 
 /**
--- a/src/process/targets.h
+++ b/src/process/targets.h
@@ -84,8 +84,8 @@
 /**
  * cfs_targets_apply() - applies a committed report
  * @targets: table of struct cfs_target
- * @in: report; ignored when the entry is newer.  Any instance with an earlier
- * incarnation at the same address is marked as gone
+ * @in: report; ignored unless it is newer than the entry.  Any instance with
+ * an earlier incarnation at the same address is marked as gone
  * @index: log index of the report
  *
  * Return: whether the table changed.
--- a/src/process/thread_channel.h
+++ b/src/process/thread_channel.h
@@ -28,7 +28,8 @@
 /** cfs_thread_channel_free() - closes this end; NULL is ignored */
 void cfs_thread_channel_free (struct cfs_thread_channel *channel);
 
-/** cfs_thread_channel_send() - serializes and sends a message */
+/** cfs_thread_channel_send() - serializes and sends a message, which is
+ * dropped when the queue to the other end is full */
 void cfs_thread_channel_send (struct cfs_thread_channel *channel,
                               const Cfs__Peer *msg);
 
--- a/src/process/wire.pb-c.h
+++ b/src/process/wire.pb-c.h
@@ -78,14 +78,19 @@
 
 /*
  * Message between members of the control group; type is an enum raft_msg_type,
- * from and to are member ids, host is the name of the sender.
+ * from and to are member ids, host is the name of the sender or, in a
+ * forwarded join request, of the host that joins.
  * index, log_term: entry before the entries of an append; last entry of the
  * sender's log in a vote request; entry that a snapshot ends with.  In a reply
  * to an append, index is the last entry known to match the leader's log, or
  * with reject the entry that does not match.
- * hint: last index in the log of a follower, from which the leader continues.
- * round: send time of an append or snapshot, echoed by the reply; in a join
- * request 1 if a follower has forwarded it.
+ * commit: commit index of the leader.
+ * hint: in a reply to an append, last index in the log of the follower; after
+ * a reject the leader continues with the entry behind it, or with the entry
+ * that does not match if that comes first.
+ * round: send time of an append or snapshot by the leader's clock, in
+ * microseconds, echoed by the reply; in a join request 1 if a follower has
+ * forwarded it.
  */
 struct  Cfs__RaftMsg
 {
@@ -218,7 +223,8 @@
  * want_term: it requests a new term for a promotion.
  * promoted_term: term in which it promoted primary, whose history branches off
  * at start; 0 if none.
- * used_term: last granted term that a promotion was attempted with.
+ * used_term: last granted term with which the gate started a promotion in this
+ * epoch; 0 if none.
  */
 struct  Cfs__GroupReport
 {
@@ -255,7 +261,7 @@
  * version, directory, members_hash: what the host has; the reply contains only
  * what changed since.
  * suspects: targets that the host cannot reach.
- * idle_us: time since an operation was last let pass.
+ * idle_us: time since the host last admitted an operation, or since its start.
  */
 struct  Cfs__Heartbeat
 {
@@ -316,8 +322,9 @@
 
 /*
  * Failover of a service: open from its start until its end.  target is the
- * primary once it has ended; fence is the fencing token, the log index of the
- * start.
+ * primary chosen by the last completed failover; in the command that ends one,
+ * it is empty if the failover was cancelled.  fence is the fencing token, the
+ * log index of the start.
  */
 struct  Cfs__Turn
 {
@@ -394,8 +401,9 @@
 
 /*
  * Share of a team's rate that is leased to a host, in operations per second.
- * known: the leader knows all shares and tokens in use, so what it denies is
- * really used up.
+ * known: no share granted by an earlier leader can be in use without the
+ * leader knowing it, and its token buckets have had time to refill, so a
+ * refusal means that the rate is used up.
  */
 struct  Cfs__TeamShare
 {
@@ -658,6 +666,11 @@
     , 0, 0, 0, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string, (char *)protobuf_c_empty_string }
 
 
+/*
+ * Reply to an OperatorCall; status is that of HTTP.  A host that is not leader
+ * replies with 503 and the name of the leader, if known, as body; 503 with the
+ * body {} means that the outcome of a patch is unknown.
+ */
 struct  Cfs__OperatorReply
 {
   ProtobufCMessage base;
@@ -758,8 +771,8 @@
 
 /*
  * Reply to a TokenAsk.  moved: the sender does not hold the limiter at the
- * epoch of the request.  retry_us: time until the last granted token may be
- * used or, if none is granted, until one can be.
+ * epoch of the request, or its lease has expired.  retry_us: time until the
+ * last granted token may be used or, if none is granted, until one can be.
  */
 struct  Cfs__TokenGrant
 {
