--- a/src/process/core.c
+++ b/src/process/core.c
@@ -144,7 +144,7 @@
       while (!stop_requested)
         run_once (&c);
       leave_group (&c);
-      cfs_log (CFS_NOTICE, PART, "stopped");
+      cfs_log (CFS_NOTICE, PART, "stops");
     }
   cleanup (&c);
   return ok;
