--- a/src/process/leader.c
+++ b/src/process/leader.c
@@ -186,7 +186,7 @@
       l->assign_index = propose (l, &c);
       for (size_t i = 0; i < b->count; i++)
         if (b->from[i])
-          b->from[i]->fence = l->assign_index;
+          b->from[i]->reassigned_index = l->assign_index;
     }
   free (b);
 }
@@ -535,7 +535,7 @@
     handle_group_report (l, in->reports[i]);
   cfs__heartbeat_reply__init (&l->reply.msg);
   l->reply.msg.seq = in->seq;
-  l->reply.msg.granted = h->fence <= l->applied;
+  l->reply.msg.granted = h->reassigned_index <= l->applied;
   if (l->reply.msg.granted)
     h->lease_end = now + LEASE_WAIT_US;
   leader_reply_conf (l, in->version);
--- a/src/process/leader.h
+++ b/src/process/leader.h
@@ -58,8 +58,8 @@
  * @port: port for traffic
  * @boot: boot id of the running process
  * @version: configuration version that the host holds
- * @fence: log index of the last assignment that takes a resource away from the
- * host; its lease is not renewed until this index is applied
+ * @reassigned_index: log index of the last assignment that takes a resource
+ * away from the host; its lease is not renewed until this index is applied
  * @seen_at: time of the last heartbeat
  * @lease_end: end of the lease of the running process
  * @old_boot_lease_end: latest end of a lease of its earlier processes
@@ -80,7 +80,7 @@
   uint32_t port;
   uint64_t boot;
   uint64_t version;
-  uint64_t fence;
+  uint64_t reassigned_index;
   int64_t seen_at;
   int64_t lease_end;
   int64_t old_boot_lease_end;
