--- a/src/process/disk.c
+++ b/src/process/disk.c
@@ -34,6 +34,14 @@
   off_t offset;
 };
 
+/**
+ * struct cfs_disk - open data folder of a control host
+ * @id: identity of the member
+ * @log: descriptor of the log file
+ * @audit: descriptor of the audit file
+ * @end: size of the log file in bytes, without an incomplete last record
+ * @offsets: offsets of the log records, in log order
+ */
 struct cfs_disk
 {
   char *folder;
