--- a/src/version/schema.c
+++ b/src/version/schema.c
@@ -145,8 +145,8 @@
     g_snprintf (number, sizeof number, "%d", index++);
     len = push_path (v, f->type == FIELD_MAP ? item->string : number);
     if (f->type == FIELD_MAP && !text_allowed (&key, item->string))
-      return fail (v, "an invalid name",
-                   "a name of 1 to 48 letters, digits, '-', '_' or '.'");
+      return fail (v, "an invalid name (1 to 48 characters are allowed)",
+                   type_names[FIELD_NAME]);
     ok = check_object (v, item, f->children);
     if (!ok)
       return false;
